--- /dev/null
+++ b/test/frozen/rows.test.ts
@@ -0,0 +1,115 @@
+import { describe, it } from 'node:test'
+import { expect } from 'earl'
+import { createSnapshot } from '../../src/registry/snapshot.ts'
+import { REGISTRY_TABLE, registryKeys, RETIRED_PROCESS } from '../../src/registry/types.ts'
+import { setUpWorld } from '../fixtures/fleet/set-up.ts'
+
+const GROUP = '{"epoch":4,"primary":"g-b","primaryBornAt":1700000000000,"state":"closed","term":3,"writtenBy":"h1",' +
+  '"succession":"7a4d"}'
+const ROWS = [
+  { key: 'duty/promotion', value: '{"holder":"h1","process":"p1","fence":2,"expiresMs":1234.5}', version: 9 },
+  { key: 'group/g', value: GROUP, version: 8 },
+  { key: 'group/old', value: '{"epoch":1,"primary":"o-a","state":"open","term":1,"writtenBy":"h1","succession":""}', version: 3 },
+  {
+    key: 'host/h1',
+    value: '{"address":"10.1.0.8","port":7440,"failureDomain":"x","process":"p1","stopped":{"g":4,"o":1},"leaving":true,' +
+      '"unknown":1}',
+    version: 7
+  },
+  { key: 'host/h2', value: '{"address":"10.1.0.9","port":7440,"failureDomain":"y","process":"p2"}', version: 2 },
+  {
+    key: 'host/h3',
+    value: '{"address":"10.1.0.7","port":7440,"failureDomain":"y","process":"retired","retiredUntilMs":17.25}',
+    version: 6
+  }
+]
+
+describe('rows of the registry keep their bytes', () => {
+  it('are in one table, under these keys', () => {
+    expect([REGISTRY_TABLE, registryKeys.host('h1'), registryKeys.group('g'), registryKeys.duty, RETIRED_PROCESS])
+      .toEqual(['worksward', 'host/h1', 'group/g', 'duty/promotion', 'retired'])
+  })
+
+  it('are decoded, also with the fewest fields and with unknown ones', () => {
+    const { hosts, liveHosts, closedGroups, duty, group, digest } = createSnapshot(ROWS, 9, 0)
+    const [first, second, third] = [
+      {
+        address: '10.1.0.8',
+        port: 7440,
+        failureDomain: 'x',
+        process: 'p1',
+        stopped: { g: 4, o: 1 },
+        leaving: true,
+        name: 'h1',
+        version: 7
+      },
+      { address: '10.1.0.9', port: 7440, failureDomain: 'y', process: 'p2', name: 'h2', version: 2 },
+      {
+        address: '10.1.0.7',
+        port: 7440,
+        failureDomain: 'y',
+        process: 'retired',
+        retiredUntilMs: 17.25,
+        name: 'h3',
+        version: 6
+      }
+    ]
+    expect<unknown[]>(hosts).toEqual([first, second, third])
+    expect<unknown[]>(liveHosts).toEqual([first, second])
+    expect(closedGroups).toEqual([{ group: 'g', epoch: 4 }])
+    expect(duty).toEqual({ row: { holder: 'h1', process: 'p1', fence: 2, expiresMs: 1234.5 }, version: 9 })
+    expect(group('g')).toEqual({
+      row: {
+        epoch: 4,
+        primary: 'g-b',
+        primaryBornAt: 1_700_000_000_000,
+        state: 'closed',
+        term: 3,
+        writtenBy: 'h1',
+        succession: '7a4d'
+      },
+      version: 8
+    })
+    expect(group('old')).toEqual({
+      row: { epoch: 1, primary: 'o-a', state: 'open', term: 1, writtenBy: 'h1', succession: '' }, version: 3
+    })
+    expect(group('none')).toEqual({ row: undefined, version: 0 })
+    expect(digest).toEqual('E9zFvJWMYtCKZwUfe6Bx29sMisC1s0k3cSgg1hI/XQg=')
+  })
+
+  it('are refused when fields are missing', () => {
+    const decode = (key: string, value: string): string => {
+      try {
+        const { duty, group } = createSnapshot([{ key, value, version: 1 }], 1, 0)
+        return duty.row === undefined && group('g').row === undefined ? 'nothing' : 'decoded'
+      } catch {
+        return 'refused'
+      }
+    }
+    expect([
+      decode('host/h', '{"address":"a","port":1,"failureDomain":"x"}'),
+      decode('host/h', '{"address":"a","port":1.5,"failureDomain":"x","process":"p"}'),
+      decode('group/g', GROUP.replace('"closed"', '"other"')),
+      decode('group/g', GROUP.replace('"succession"', '"other"')),
+      decode('duty/promotion', '{"holder":"h1","process":"p1","fence":2}'),
+      decode('group/g', GROUP),
+      decode('other/x', 'text')
+    ]).toEqual(['refused', 'refused', 'refused', 'refused', 'refused', 'decoded', 'nothing'])
+  })
+})
+
+describe('the row of a host', () => {
+  const suite = setUpWorld(['h1', 'h2'])
+  const rowOf = (host: string): string => suite.world.store.tables.get('worksward')!.get(`host/${host}`)!.value
+
+  it('tells at which primaries the process has stopped working', async () => {
+    const registry = suite.world.hosts.get('h1')!.kernel.use('registry')
+    const { process } = registry.self
+    const { port } = JSON.parse(rowOf('h1')) as { port: number }
+    const before = `{"address":"127.0.0.1","port":${port},"failureDomain":"x","process":"${process}"`
+    expect(rowOf('h1')).toEqual(`${before}}`)
+    await suite.settle(registry.tellStopped('g', 5))
+    await suite.settle(registry.tellStopped('other', 2))
+    expect(rowOf('h1')).toEqual(`${before},"stopped":{"g":5,"other":2}}`)
+  })
+})
