--- /dev/null
+++ b/test/frozen/process.test.ts
@@ -0,0 +1,90 @@
+import { spawn } from 'node:child_process'
+import { once } from 'node:events'
+import { createServer, type AddressInfo } from 'node:net'
+import { after, before, describe, it } from 'node:test'
+import { expect } from 'earl'
+import { entrySettingsSchema } from '../../src/core/config/entry-settings.ts'
+import type { Kernel } from '../../src/core/kernel/index.ts'
+import { silentLogger } from '../../src/core/logger/index.ts'
+import { createDialer } from '../../src/core/wire/dialer.ts'
+import { startEntry } from '../../src/processes/entry.ts'
+import { expectGolden } from './golden.ts'
+
+const ADDRESS = '127.0.0.1'
+const PROGRAM = new URL('../../bin/worksward-entry.js', import.meta.url).pathname
+
+/** Ports that were free a moment ago. */
+async function findPorts (count: number): Promise<number[]> {
+  const servers = Array.from({ length: count }, () => createServer().listen(0, ADDRESS))
+  await Promise.all(servers.map(async (server) => await once(server, 'listening')))
+  const ports = servers.map((server) => (server.address() as AddressInfo).port)
+  await Promise.all(servers.map(async (server) => await new Promise((resolve) => server.close(resolve))))
+  return ports
+}
+
+describe('the program worksward-entry keeps its command line', () => {
+  const run = async (args: string[], environment: Record<string, string> = {}): Promise<unknown> => {
+    const inherited = { ...process.env }
+    delete inherited['WORKSWARD_BOOT']
+    const child = spawn(process.execPath, [PROGRAM, ...args], { env: { ...inherited, ...environment } })
+    let output = ''
+    let errors = ''
+    child.stdout.on('data', (chunk) => { output += String(chunk) })
+    child.stderr.on('data', (chunk) => { errors += String(chunk) })
+    const [code] = await once(child, 'close') as [number | null]
+    return { code, output: output.split('\n'), errors: errors.split('\n') }
+  }
+
+  it('its usage, and what it says of a settings file that is missing or wrong', async () => {
+    expectGolden('program', {
+      help: await run(['--help']),
+      missing: await run(['/there/is/no/such/file.yaml']),
+      missingByVariable: await run([], { WORKSWARD_BOOT: '/there/is/no/other.yaml' }),
+      unnamed: await run([]),
+      unknownOption: await run(['--other', '/there/is/no/such/file.yaml'])
+    })
+  })
+})
+
+describe('an entry process shows the same', () => {
+  let kernel: Kernel
+  let metricsPort: number
+  let readinessPort: number
+  before(async () => {
+    const [callers, readiness, metrics, store, promotion] = await findPorts(5)
+    metricsPort = metrics!
+    readinessPort = readiness!
+    const settings = entrySettingsSchema.parse({
+      host: { name: 'front-1', address: ADDRESS, failureDomain: 'hall-a' },
+      listen: { callers: `${ADDRESS}:${callers}`, readiness: `${ADDRESS}:${readiness}`, peers: 0, metrics },
+      store: `${ADDRESS}:${store}`,
+      promotion: `${ADDRESS}:${promotion}`,
+      peers: { key: 'a-key-for-all-the-tests' }
+    })
+    kernel = await startEntry(settings, { logger: silentLogger, dialer: createDialer() })
+  })
+  after(async () => await kernel.close())
+  const get = async (port: number, path: string): Promise<Response> => await fetch(`http://${ADDRESS}:${port}${path}`)
+
+  it('metrics, in names, helps, types and labels', async () => {
+    const response = await get(metricsPort, '/metrics')
+    expect([response.status, response.headers.get('content-type')])
+      .toEqual([200, 'text/plain; version=0.0.4; charset=utf-8'])
+    const lines = (await response.text()).split('\n')
+    const comments = lines.filter((line) => line.startsWith('#'))
+    const samples = lines.filter((line) => line !== '' && !line.startsWith('#'))
+    // Calls to the store come at their own times, so their labels do too.
+    const constant = samples.filter((line) => !line.startsWith('worksward_store_milliseconds'))
+    const names = constant.map((line) => line.slice(0, line.lastIndexOf(' ')))
+    expect(samples.filter((line) => !/^worksward_[a-z_]+\{label="[^"]*"\} \S+$/.test(line))).toEqual([])
+    expectGolden('metrics', { comments: comments.sort(), names: [...new Set(names)].sort() })
+  })
+
+  it('readiness, and the parts of its state', async () => {
+    expect((await get(readinessPort, '/')).status).toEqual(503)
+    const response = await get(metricsPort, '/dump')
+    expect([response.status, response.headers.get('content-type')]).toEqual([200, 'application/json'])
+    const state = await response.json() as Record<string, Record<string, unknown> | null>
+    expectGolden('dump', Object.entries(state).map(([part, fields]) => [part, Object.keys(fields ?? {})].flat()).sort())
+  })
+})
--- /dev/null
+++ b/test/frozen/settings.test.ts
@@ -0,0 +1,83 @@
+import { createHash } from 'node:crypto'
+import { readFileSync } from 'node:fs'
+import { describe, it } from 'node:test'
+import { expect } from 'earl'
+import * as z from 'zod'
+import { entrySettingsSchema, loadFile } from '../../src/core/config/index.ts'
+import { expectGolden } from './golden.ts'
+
+const ROOT = new URL('../../', import.meta.url).pathname
+const MINIMAL = {
+  host: { name: 'front-1', address: '10.1.0.8', failureDomain: 'hall-a' },
+  listen: { callers: '10.1.0.8:8784', readiness: '10.1.0.8:8785', peers: 7440, metrics: 7441 },
+  store: '10.200.1.7:8783',
+  promotion: '10.200.0.160:8783',
+  peers: { key: 'a-key-of-sixteen-or-more' }
+}
+
+function digestOf (file: string): string {
+  return createHash('sha256').update(readFileSync(`${ROOT}${file}`)).digest('hex')
+}
+
+/** Sets or removes one field of the least settings. */
+function change (path: string, value: unknown): unknown {
+  const settings = structuredClone(MINIMAL) as Record<string, unknown>
+  const names = path.split('.')
+  const last = names.pop()!
+  const parent = names.reduce((part, name) => (part[name] ??= {}) as Record<string, unknown>, settings)
+  parent[last] = value
+  return settings
+}
+
+describe('settings of an entry process stay as they are', () => {
+  it('by default', () => {
+    expectGolden('settings-minimal', entrySettingsSchema.parse(MINIMAL))
+  })
+
+  it('in the example', () => {
+    expectGolden('settings-example', loadFile(`${ROOT}examples/entry.yaml`, entrySettingsSchema))
+  })
+
+  it('in the names and forms of fields', () => {
+    expectGolden('settings-schema', z.toJSONSchema(entrySettingsSchema, { io: 'input' }))
+  })
+
+  it('in what is needed, and in what is refused', () => {
+    const needed = [
+      'host', 'host.name', 'host.address', 'host.failureDomain', 'listen', 'listen.callers', 'listen.readiness',
+      'listen.peers', 'listen.metrics', 'store', 'promotion', 'peers', 'peers.key'
+    ]
+    const refused: Array<[string, unknown]> = [
+      ...needed.map((path): [string, unknown] => [path, undefined]),
+      ['host.name', ''], ['host.other', 1], ['listen.other', 1], ['peers.other', 1], ['limits.other', 1],
+      ['limits.tolerance.other', 1], ['log.other', 1], ['other', 1], ['listen.callers', 'name:1'],
+      ['listen.peers', 65_536], ['listen.metrics', -1], ['peers.key', 'fifteen letters'], ['graceSeconds', 0],
+      ['drainMs', 0], ['drainMs', 1.5], ['limits.windowSeconds', -1], ['limits.tolerance.part', '0'], ['log.level', 'other']
+    ]
+    expect(refused.filter(([path, value]) => entrySettingsSchema.safeParse(change(path, value)).success)).toEqual([])
+  })
+
+  it('in what may be given, or left empty', () => {
+    const given: Array<[string, unknown]> = [
+      ['graceSeconds', 0.5], ['drainMs', 1], ['limits.windowSeconds', 0], ['limits.windowSeconds', null],
+      ['limits.tolerance.part', 0.25], ['limits.tolerance.part', null], ['limits.tolerance.operations', 12],
+      ['limits.tolerance.operations', null], ['listen.peers', 0], ['host.address', 'name'],
+      ...['error', 'warn', 'info', 'debug', 'silent'].map((level): [string, unknown] => ['log.level', level])
+    ]
+    expectGolden('settings-given', given.map(([path, value]) => {
+      const { graceSeconds, drainMs, limits, log, listen, host } = entrySettingsSchema.parse(change(path, value))
+      return { path, value, settings: { graceSeconds, drainMs, limits, log, listen, host } }
+    }))
+  })
+})
+
+describe('files of the deployment stay as they are', () => {
+  it('byte for byte', () => {
+    expect([digestOf('deploy/system.toml'), digestOf('deploy/settings.yaml.template'), digestOf('examples/entry.yaml')])
+      .toEqual([
+        'e3a4879c7becfbdfe803ee98a9c0ddac6df4141e93dc43c29288c68178a874ae',
+        '9b15a5332fee66fb22855e0c0368992a7203460250f636a7cf3ebdc43a948f95',
+        '222d8a4a874c5613fc70f3dd278a833b84263a6de022cc1ad23cef9bdddb531f'
+      ])
+  })
+})
