--- /dev/null
+++ b/test/frozen/agreements.test.ts
@@ -0,0 +1,45 @@
+import { describe, it } from 'node:test'
+import { homesOf, orderByScore } from '../../src/homes/placement.ts'
+import { followersOf, readerFor, readersOf } from '../../src/registry/readers.ts'
+import type { KnownHost } from '../../src/registry/snapshot.ts'
+import { expectGolden } from './golden.ts'
+
+const DOMAINS = ['x', 'y', 'z']
+
+function hostsOf (count: number): KnownHost[] {
+  return Array.from({ length: count }, (_, index): KnownHost => ({
+    name: `front-${index + 1}`,
+    failureDomain: DOMAINS[index % DOMAINS.length]!,
+    address: '10.1.0.8',
+    port: 7440,
+    process: `p${index}`,
+    version: index + 1
+  }))
+}
+
+const namesOf = (hosts: KnownHost[]): string[] => hosts.map(({ name }) => name)
+
+/** What hosts of several releases compute without telling each other; different results cost time and calls. */
+describe('hosts agree as ever', () => {
+  const sizes = [1, 3, 9, 71]
+
+  it('on the homes of upstreams', () => {
+    expectGolden('agreement-homes', sizes.flatMap((size) => [['i-1', 3, 30], ['i-2', 8, 400], ['', 1, 1]].map((placed) => {
+      const [upstream, slots, cap] = placed as [string, number, number]
+      return { size, placed, homes: namesOf(homesOf({ upstream, slots, failureDomain: 'y' }, hostsOf(size), cap)) }
+    })))
+  })
+
+  it('on the order in which they keep limits', () => {
+    expectGolden('agreement-limits', sizes.flatMap((size) => ['red', 'blue'].map((organisation) =>
+      ({ size, organisation, order: namesOf(orderByScore(organisation, hostsOf(size))) }))))
+  })
+
+  it('on those that read the store for others', () => {
+    expectGolden('agreement-readers', sizes.map((size) => {
+      const hosts = hostsOf(size)
+      const asked = hosts.slice(0, 9).map(({ name }) => [name, readerFor(name, hosts)?.name])
+      return { size, readers: namesOf(readersOf(hosts)), followers: namesOf(followersOf(hosts)), asked }
+    }))
+  })
+})
