--- a/test/frozen/mysql-stored-forms.test.ts
+++ b/test/frozen/mysql-stored-forms.test.ts
@@ -163,7 +163,8 @@
     table.put('hosts', 'proxy-9', body)
     const heard: Member[] = []
     const opinions = { hear: (member: Member) => { heard.push(member) } } as unknown as Opinions
-    const { requests } = await record(async () => await readPlatformList(connection.table, createMemberList(), opinions))
+    const list = createMemberList()
+    const { requests } = await record(async () => await readPlatformList(connection.table, list, opinions))
     expectGolden(FILE, 'list of hosts', { requests, heard })
   })
 })
