--- a/test/frozen/mysql-frames.test.ts
+++ b/test/frozen/mysql-frames.test.ts
@@ -4,8 +4,10 @@
 import { PassThrough } from 'node:stream'
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
+import { createCallerTransactions } from '../../src/callers/caller-transaction.ts'
 import { changesSchema, sinceSchema } from '../../src/configuration/types.ts'
 import { groupSchema } from '../../src/core/config/index.ts'
+import { RequestError } from '../../src/core/errors/index.ts'
 import { silentLogger } from '../../src/core/logger/index.ts'
 import { createDialer } from '../../src/core/wire/dialer.ts'
 import { attachFrames, MAXIMUM_FRAME_BYTES, MAXIMUM_HELLO_BYTES } from '../../src/core/wire/frames.ts'
@@ -18,6 +20,7 @@
 import { proveKey, sameProof } from '../../src/peers/authentication.ts'
 import { createPeerClient } from '../../src/peers/peer-client.ts'
 import { listenForPeers } from '../../src/peers/peer-server.ts'
+import type { HomeRequests } from '../../src/routing/home-requests.ts'
 import type { HomeReply, HomeRequest } from '../../src/routing/types.ts'
 import { expectGolden, outcomeOf, readGolden, toJson } from './mysql-golden.ts'
 
@@ -309,3 +312,33 @@
     expectGolden(FILE, 'connecting side', heard)
   })
 })
+
+describe('requests of a caller\'s transaction', () => {
+  it('have the same fields in the same order, whole and as bytes', async () => {
+    const sent: HomeRequest[] = []
+    const take = (request: HomeRequest): HomeReply => {
+      const { transactionId } = request as { transactionId?: string }
+      sent.push({ ...request, ...(transactionId === undefined ? {} : { transactionId: transactionId.slice(0, -36) }) })
+      if (request.type === 'commit') {
+        throw new RequestError('may-have-run', 'PeerUnavailable', { peer: 'home', reason: 'the link was closed' })
+      }
+      return REPLIES['done']!
+    }
+    const requests = {
+      passedOn: 0,
+      send: async (request) => ({ reply: take(request), home: 'home' }),
+      sendTo: async (_home, request) => take(request)
+    } satisfies HomeRequests
+    const transactions = createCallerTransactions({
+      host: 'proxy-1', connectionId: 17, requests, base: () => BASE, onCommitted: () => {}
+    })
+    await transactions.begin()
+    await transactions.execute({ sql: 'INSERT INTO a VALUES (?)', values: VALUES }, BASE, true)
+    await transactions.commit('order-17')
+    await transactions.begin()
+    await transactions.rollBack()
+    const frames = await Promise.all(sent.map(async (body, index) =>
+      (await encodeFrame({ id: index, type: 'home', body })).toString('hex')))
+    expectGolden(FILE, 'requests of a transaction', { sent, frames })
+  })
+})
--- a/test/frozen/mysql-placement.test.ts
+++ b/test/frozen/mysql-placement.test.ts
@@ -49,7 +49,8 @@
 })
 
 describe('the homes of upstreams', () => {
-  const upstreams = GROUPS.map((upstream, index) => ({ upstream, failureDomain: DOMAINS[index % 3]!, slots: 2 + index % 4 }))
+  const upstreams = GROUPS.map((upstream, index) =>
+    ({ upstream, failureDomain: DOMAINS[index % 3]!, slots: 2 + index % 4 }))
 
   it('are the same for 40 upstreams and 12 hosts', () => {
     expectGolden(FILE, 'homes of upstreams', Object.fromEntries(upstreams.map((placed) =>
@@ -62,7 +63,8 @@
   })
 
   it('are as many, in the same order and with the same scores', () => {
-    expectGolden(FILE, 'orders', GROUPS.slice(0, 5).map((group) => orderByScore(group, HOSTS).map(({ name }) => name).join(' ')))
+    const order = (group: string): string => orderByScore(group, HOSTS).map(({ name }) => name).join(' ')
+    expectGolden(FILE, 'orders', GROUPS.slice(0, 5).map(order))
     expectGolden(FILE, 'scores of upstreams', GROUPS.slice(0, 5).map((group) => scoreOfUpstream(group, 'host-1')))
     expectGolden(FILE, 'counts', [4, 16, 25, 60, 200].flatMap((cap) => [1, 2, 3, 8].flatMap((slots) =>
       [1, 3, 12].map((hosts) => [cap, slots, hosts, countHomes(cap, slots, hosts)].join(' ')))))
