--- a/test/frozen/mysql-deployment.test.ts
+++ b/test/frozen/mysql-deployment.test.ts
@@ -17,7 +17,8 @@
   'heartbeat reply': ['members,digest,revision'],
   members: ['0'],
   'try-member': ['host,role,failureDomain,address,port,startedAt,version,state'],
-  evidence: ['group,upstream,term,failureDomain,host', 'upstream,term,failureDomain,group,host'],
+  'evidence of a proxy': ['group,upstream,term,failureDomain,host'],
+  'evidence of a keeper': ['upstream,term,failureDomain,group,host'],
   leadership: ['type,term,primary,group', 'term,primary,group'],
   promote: ['group,upstream'],
   'configuration-since': ['revision'],
@@ -61,13 +62,20 @@
     seen.set(name, (seen.get(name) ?? new Set()).add(shown.join(',')))
   }
   /** Notes what a host sends to others. */
-  const listen = ({ kernel }: DeployedHost): void => {
+  const listen = ({ kernel, callerPort }: DeployedHost): void => {
+    const role = callerPort === 0 ? 'keeper' : 'proxy'
+    const nameOf = (type: string, body: unknown): string => {
+      const names: Record<string, string> = {
+        home: `home ${(body as { type?: string }).type}`, evidence: `evidence of a ${role}`
+      }
+      return names[type] ?? type
+    }
     const peers = kernel.use('peers')
     const { request } = peers
     peers.request = async (endpoint, type, body, timeoutMs) => {
-      note(type === 'home' ? `home ${(body as { type: string }).type}` : type, body)
+      note(nameOf(type, body), body)
       const answer = await request(endpoint, type, body, timeoutMs)
-      if (`${type} reply` in MESSAGES && type !== 'home') {
+      if (`${type} reply` in MESSAGES) {
         note(`${type} reply`, answer)
       }
       return answer
@@ -101,6 +109,12 @@
     return (JSON.parse(answer) as { rows: Array<Record<string, unknown>> }).rows
   }
 
+  const expectKnown = (): void => {
+    const unknown = [...seen].map(([name, forms]) =>
+      [name, [...forms].filter((form) => MESSAGES[name]?.includes(form) !== true)] as const)
+    expect(unknown.filter(([, forms]) => forms.length > 0)).toEqual([])
+  }
+
   it('know the same types of messages', async () => {
     const handled: Record<string, string[]> = {}
     for (const [role, { kernel }] of [['proxy', deployment.proxies[1]!], ['keeper', deployment.keepers[0]!]] as const) {
@@ -209,8 +223,19 @@
       .find((name) => name !== deployment.primaryOf(GROUP).upstream.name)!
     await query(`promote ${GROUP} to ${target}`)
     await until(() => CERTAIN.every((type) => seen.has(type)))
-    const unknown = [...seen].map(([name, forms]) =>
-      [name, [...forms].filter((form) => MESSAGES[name]?.includes(form) !== true)] as const)
-    expect(unknown.filter(([, forms]) => forms.length > 0)).toEqual([])
+    expectKnown()
+  })
+
+  it('send messages of the same fields when an upstream and a host are silent', async () => {
+    const reader = await deployment.connect(0)
+    deployment.network.isolate(deployment.primaryOf(GROUP).upstream.name)
+    await until(async () => {
+      await purchase(reader, 'silent', randomUUID()).catch(() => {})
+      return seen.has('evidence of a proxy') && seen.has('evidence of a keeper')
+    })
+    deployment.network.isolate('proxy-3')
+    await until(() => seen.has('try-member'))
+    deployment.network.mend()
+    expectKnown()
   })
 })
