--- a/bench/differential.ts
+++ b/bench/differential.ts
@@ -1,7 +1,7 @@
 /** The same workload and faults against worksward and against the naive version. */
-import { CHECKERS } from '../src/load/checks/index.ts'
-import { runExperiment, type ExperimentOptions, type ExperimentResult } from '../src/load/experiment.ts'
-import { summarize } from '../src/load/summary.ts'
+import { CHECKERS } from '../src/emulation/load/checks/index.ts'
+import { runExperiment, type ExperimentOptions, type ExperimentResult } from '../src/emulation/load/experiment.ts'
+import { summarize } from '../src/emulation/load/summary.ts'
 import { runNaive } from './naive/run-naive.ts'
 import type { Measurement, Row } from './types.ts'
 
--- a/bench/failover-gap.ts
+++ b/bench/failover-gap.ts
@@ -1,8 +1,8 @@
 /** The longest time without an acknowledged write around a failover, as callers see it. */
-import { runExperiment } from '../src/load/experiment.ts'
-import type { FaultName } from '../src/load/faults.ts'
+import { runExperiment } from '../src/emulation/load/experiment.ts'
+import type { FaultName } from '../src/emulation/load/faults.ts'
 import { reportViolations } from './report-violations.ts'
-import { failoverGapMs } from '../src/load/summary.ts'
+import { failoverGapMs } from '../src/emulation/load/summary.ts'
 import type { Measurement, Row } from './types.ts'
 
 const RUNS = 20
--- a/bench/faulty-runs.ts
+++ b/bench/faulty-runs.ts
@@ -1,8 +1,8 @@
 /** Violations over many seeded runs under faults; several runs at a time, each on sockets of its own. */
-import { runExperiment, type ExperimentResult } from '../src/load/experiment.ts'
-import { scheduleFaults } from '../src/load/faults.ts'
-import { createRandom } from '../src/load/random.ts'
-import { summarize } from '../src/load/summary.ts'
+import { runExperiment, type ExperimentResult } from '../src/emulation/load/experiment.ts'
+import { scheduleFaults } from '../src/emulation/load/faults.ts'
+import { createRandom } from '../src/emulation/load/random.ts'
+import { summarize } from '../src/emulation/load/summary.ts'
 import { reportViolations } from './report-violations.ts'
 import type { Measurement } from './types.ts'
 
--- a/bench/idle-connections.ts
+++ b/bench/idle-connections.ts
@@ -1,7 +1,7 @@
 /** Memory and processor time of callers that are connected and idle, in one proxy process. */
 import mysql, { type Connection } from 'mysql2/promise'
 import { pause } from '../src/core/time/deadline.ts'
-import { ASSOCIATION_SIZES, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../src/embedded/sizes.ts'
+import { ASSOCIATION_SIZES, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../src/emulation/embedded/sizes.ts'
 import { startProcesses, type DeployedProcess, type ProcessDeployment } from '../test/fixtures/process-deployment.ts'
 import { processorMs } from './process-cost.ts'
 import { round2 } from './throughput.ts'
--- a/bench/naive/run-naive.ts
+++ b/bench/naive/run-naive.ts
@@ -1,7 +1,7 @@
 /** Runs an experiment whose callers connect to the naive proxy instead of worksward. */
-import { EMBEDDED_ACCOUNT, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../../src/embedded/sizes.ts'
-import type { Deployment } from '../../src/embedded/deployment.ts'
-import { runExperiment, type ExperimentOptions, type ExperimentResult } from '../../src/load/experiment.ts'
+import { EMBEDDED_ACCOUNT, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../../src/emulation/embedded/sizes.ts'
+import type { Deployment } from '../../src/emulation/embedded/deployment.ts'
+import { runExperiment, type ExperimentOptions, type ExperimentResult } from '../../src/emulation/load/experiment.ts'
 import type { ListeningServer } from '../../src/mysql/server.ts'
 import { startNaiveProxy, type NaiveOptions } from './naive-proxy.ts'
 
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -1,8 +1,8 @@
 /** Goodput at the saturating load and at twice that load. */
 import { pause } from '../src/core/time/deadline.ts'
-import { ASSOCIATION_SIZES, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../src/embedded/sizes.ts'
-import { createCaller, type Caller } from '../src/load/caller.ts'
-import { createTimeHistogram, percentileMs, recordTime } from '../src/load/summary.ts'
+import { ASSOCIATION_SIZES, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../src/emulation/embedded/sizes.ts'
+import { createCaller, type Caller } from '../src/emulation/load/caller.ts'
+import { createTimeHistogram, percentileMs, recordTime } from '../src/emulation/load/summary.ts'
 import { startProcesses, type ProcessDeployment } from '../test/fixtures/process-deployment.ts'
 import type { Measurement, Row } from './types.ts'
 import { round2 } from './throughput.ts'
--- a/bench/replica-share.ts
+++ b/bench/replica-share.ts
@@ -1,7 +1,7 @@
 /** Share of reads that replicas serve, by the way in which sessions name themselves. */
-import { runExperiment } from '../src/load/experiment.ts'
-import { summarize } from '../src/load/summary.ts'
-import { GRID_MIX, type WorkloadOptions } from '../src/load/workload.ts'
+import { runExperiment } from '../src/emulation/load/experiment.ts'
+import { summarize } from '../src/emulation/load/summary.ts'
+import { GRID_MIX, type WorkloadOptions } from '../src/emulation/load/workload.ts'
 import type { Measurement, Row } from './types.ts'
 
 const LAG_MS = 50
--- a/bench/report-violations.ts
+++ b/bench/report-violations.ts
@@ -1,5 +1,5 @@
 /** Says on standard error which promises a run broke, and what callers saw of the requests concerned. */
-import type { ExperimentResult } from '../src/load/experiment.ts'
+import type { ExperimentResult } from '../src/emulation/load/experiment.ts'
 
 /**
  * Reports a run's violations.
--- a/bench/throughput.ts
+++ b/bench/throughput.ts
@@ -1,8 +1,8 @@
 /** Reads and writes through a proxy against the same client on the same stand-in. */
 import mysql, { type Connection } from 'mysql2/promise'
 import { startProcesses, type ProcessDeployment } from '../test/fixtures/process-deployment.ts'
-import { ASSOCIATION_SIZES, EMBEDDED_ACCOUNT, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../src/embedded/sizes.ts'
-import { createTimeHistogram, percentileMs, recordTime } from '../src/load/summary.ts'
+import { ASSOCIATION_SIZES, EMBEDDED_ACCOUNT, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../src/emulation/embedded/sizes.ts'
+import { createTimeHistogram, percentileMs, recordTime } from '../src/emulation/load/summary.ts'
 import type { Measurement, Row } from './types.ts'
 
 const GROUP = 'member-a'
--- a/src/cli/demo/index.ts
+++ b/src/cli/demo/index.ts
@@ -1,7 +1,7 @@
 /** `npm start`: runs an embedded deployment, drives a short workload, fails the primary over once, and reports. */
-import { runExperiment } from '../../load/experiment.ts'
-import { failoverGapMs, summarize } from '../../load/summary.ts'
-import { FULL_MIX } from '../../load/workload.ts'
+import { runExperiment } from '../../emulation/load/experiment.ts'
+import { failoverGapMs, summarize } from '../../emulation/load/summary.ts'
+import { FULL_MIX } from '../../emulation/load/workload.ts'
 import { createLogger } from '../../core/logger/index.ts'
 
 const DURATION_MS = 4000
--- a/src/cli/entry/index.ts
+++ b/src/cli/entry/index.ts
@@ -6,7 +6,7 @@
 import { createBoundedStream } from '../../core/logger/bounded-stream.ts'
 import { createLogger } from '../../core/logger/index.ts'
 import { createDialer } from '../../core/wire/dialer.ts'
-import { startEntry } from '../../processes/entry.ts'
+import { startEntry } from '../../entry/start-entry.ts'
 import { endAfter, runProgram, serveUntilStopped } from '../run-command.ts'
 
 /** Names the settings file when the command line does not. */
--- a/src/cli/keeper/index.ts
+++ b/src/cli/keeper/index.ts
@@ -2,7 +2,7 @@
 import { keeperSettingsSchema, loadFile } from '../../core/config/index.ts'
 import { createLogger } from '../../core/logger/index.ts'
 import { createDialer } from '../../core/wire/dialer.ts'
-import { startKeeper } from '../../processes/keeper.ts'
+import { startKeeper } from '../../mysql-proxy/start-keeper.ts'
 import { runProgram, serveUntilStopped } from '../run-command.ts'
 
 await runProgram('worksward-keeper', (program) => {
--- a/src/cli/load/index.ts
+++ b/src/cli/load/index.ts
@@ -2,11 +2,11 @@
 import { appendFileSync, writeFileSync } from 'node:fs'
 import { WorkswardError } from '../../core/errors/index.ts'
 import { parseEndpoint } from '../../core/wire/dialer.ts'
-import { runExperiment } from '../../load/experiment.ts'
-import { scheduleFaults } from '../../load/faults.ts'
-import { createRandom } from '../../load/random.ts'
-import { summarize } from '../../load/summary.ts'
-import { FULL_MIX, GRID_MIX, runWorkload } from '../../load/workload.ts'
+import { runExperiment } from '../../emulation/load/experiment.ts'
+import { scheduleFaults } from '../../emulation/load/faults.ts'
+import { createRandom } from '../../emulation/load/random.ts'
+import { summarize } from '../../emulation/load/summary.ts'
+import { FULL_MIX, GRID_MIX, runWorkload } from '../../emulation/load/workload.ts'
 import { runProgram } from '../run-command.ts'
 
 const MIXES = { full: FULL_MIX, grid: GRID_MIX }
--- a/src/cli/proxy/index.ts
+++ b/src/cli/proxy/index.ts
@@ -2,7 +2,7 @@
 import { loadFile, proxySettingsSchema } from '../../core/config/index.ts'
 import { createLogger } from '../../core/logger/index.ts'
 import { createDialer } from '../../core/wire/dialer.ts'
-import { startProxy } from '../../processes/proxy.ts'
+import { startProxy } from '../../mysql-proxy/start-proxy.ts'
 import { runProgram, serveUntilStopped } from '../run-command.ts'
 
 await runProgram('worksward-proxy', (program) => {
--- a/src/cli/standin/index.ts
+++ b/src/cli/standin/index.ts
@@ -1,8 +1,8 @@
 /** `worksward-standin`: upstreams, table service and object store for tests and trials. */
 import { loadFile, standinSettingsSchema } from '../../core/config/index.ts'
 import { createLogger } from '../../core/logger/index.ts'
-import { dumpStandins, serveControl } from '../../standin/control-server.ts'
-import { startStandins } from '../../standin/index.ts'
+import { dumpStandins, serveControl } from '../../emulation/standin/control-server.ts'
+import { startStandins } from '../../emulation/standin/index.ts'
 import { runProgram } from '../run-command.ts'
 
 await runProgram('worksward-standin', (program) => {
--- a/src/cli/worksward/prompt.ts
+++ b/src/cli/worksward/prompt.ts
@@ -1,6 +1,6 @@
 /** The interactive prompt, with history and completion. */
 import { createInterface } from 'node:readline/promises'
-import { WORDS_AFTER } from '../../language/parser.ts'
+import { WORDS_AFTER } from '../../mysql-proxy/language/parser.ts'
 import { WorkswardError, describeThrown } from '../../core/errors/index.ts'
 
 const HISTORY_LENGTH = 200
--- a/src/embedded/network.ts
+++ b/src/emulation/embedded/network.ts
@@ -1,6 +1,6 @@
 /** A network between the hosts of an embedded deployment, on real sockets, whose links can be cut and mended. */
 import type { Socket } from 'node:net'
-import { createDialer, formatEndpoint, type Dialer } from '../core/wire/dialer.ts'
+import { createDialer, formatEndpoint, type Dialer } from '../../core/wire/dialer.ts'
 
 /** A connection made over the network. */
 interface Link {
--- a/src/embedded/sizes.ts
+++ b/src/emulation/embedded/sizes.ts
@@ -1,5 +1,5 @@
 /** The sizes of the deployments that are run embedded. */
-import type { Kind } from '../core/config/index.ts'
+import type { Kind } from '../../core/config/index.ts'
 
 /** Sizes of an embedded deployment. */
 export interface DeploymentSizes {
--- a/src/load/caller.ts
+++ b/src/emulation/load/caller.ts
@@ -1,6 +1,6 @@
 /** A caller: a stock MySQL client that connects again when its proxy goes, and reads the verdict of errors. */
 import mysql, { type Connection } from 'mysql2/promise'
-import type { Endpoint } from '../core/wire/dialer.ts'
+import type { Endpoint } from '../../core/wire/dialer.ts'
 import type { Outcome } from './history.ts'
 
 /** Where callers connect, and as whom. */
--- a/src/load/experiment.ts
+++ b/src/emulation/load/experiment.ts
@@ -1,8 +1,8 @@
 /** One embedded run: a deployment, a workload, faults from a schedule, and the checks of what callers saw. */
 import { startDeployment, type Deployment } from '../embedded/deployment.ts'
 import { ASSOCIATION_SIZES, EMBEDDED_ACCOUNT, EMBEDDED_PASSWORD, EMBEDDED_SERVICE, type DeploymentSizes } from '../embedded/sizes.ts'
-import type { Logger } from '../core/logger/index.ts'
-import { pause } from '../core/time/deadline.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { pause } from '../../core/time/deadline.ts'
 import type { CallerTarget } from './caller.ts'
 import { checkHistory } from './checks/index.ts'
 import { FAULTS, type EndFault, type ScheduledFault } from './faults.ts'
--- a/src/load/final-state.ts
+++ b/src/emulation/load/final-state.ts
@@ -1,6 +1,6 @@
 /** What a group holds in the end, read from its primary past every proxy, and what it starts with. */
 import mysql from 'mysql2/promise'
-import type { Endpoint } from '../core/wire/dialer.ts'
+import type { Endpoint } from '../../core/wire/dialer.ts'
 import type { FinalRecord, FinalState } from './history.ts'
 import { REGISTER_START, REGISTERS } from './operations.ts'
 
--- a/src/load/history.ts
+++ b/src/emulation/load/history.ts
@@ -1,5 +1,5 @@
 /** What callers did and saw. */
-import type { Verdict } from '../core/errors/index.ts'
+import type { Verdict } from '../../core/errors/index.ts'
 
 /** How a request ended for its caller. */
 export type Outcome =
--- a/src/load/workload.ts
+++ b/src/emulation/load/workload.ts
@@ -1,5 +1,5 @@
 /** Workers: sessions that do operations one after the other, and roam between proxies. */
-import { pause } from '../core/time/deadline.ts'
+import { pause } from '../../core/time/deadline.ts'
 import { createCaller, readOutcome, type CallerTarget } from './caller.ts'
 import type { HistoryEvent, Outcome } from './history.ts'
 import { OPERATIONS, type OperationType, type Session } from './operations.ts'
--- a/src/standin/control-server.ts
+++ b/src/emulation/standin/control-server.ts
@@ -2,8 +2,8 @@
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import * as z from 'zod'
-import { describeThrown } from '../core/errors/index.ts'
-import { hostRowSchema } from '../storage/types.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import { hostRowSchema } from '../../mysql-proxy/storage/types.ts'
 import type { Standins } from './index.ts'
 import type { UpstreamServer } from './upstream-server.ts'
 
--- a/src/standin/database.ts
+++ b/src/emulation/standin/database.ts
@@ -1,8 +1,8 @@
 /** A small SQL database in memory, on SQLite compiled to WebAssembly. */
 import initSqlJs, { type Database as SqlDatabase, type SqlJsStatic, type SqlValue } from 'sql.js'
-import { COLUMN_TYPE, BINARY_CHARACTER_SET, TEXT_CHARACTER_SET } from '../mysql/consts.ts'
-import { tokenizeStatement } from '../mysql/statement-lexer.ts'
-import type { Answer, Cell, Column, Statement, StatementValue } from '../mysql/types.ts'
+import { COLUMN_TYPE, BINARY_CHARACTER_SET, TEXT_CHARACTER_SET } from '../../mysql/consts.ts'
+import { tokenizeStatement } from '../../mysql/statement-lexer.ts'
+import type { Answer, Cell, Column, Statement, StatementValue } from '../../mysql/types.ts'
 
 let engine: SqlJsStatic | undefined
 
--- a/src/standin/index.ts
+++ b/src/emulation/standin/index.ts
@@ -1,6 +1,6 @@
 /** Starts stand-ins for a whole deployment: upstreams of every group, the table service and the object store. */
-import type { StandinSettings } from '../core/config/index.ts'
-import type { Logger } from '../core/logger/index.ts'
+import type { StandinSettings } from '../../core/config/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
 import { servePlatform, type PlatformServer } from './platform-server.ts'
 import { serveUpstream, type UpstreamServer } from './upstream-server.ts'
 import { createUpstream, type Upstream } from './upstream.ts'
--- a/src/standin/platform-server.ts
+++ b/src/emulation/standin/platform-server.ts
@@ -2,7 +2,7 @@
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
-import { PARTITIONS, type HostRow } from '../storage/types.ts'
+import { PARTITIONS, type HostRow } from '../../mysql-proxy/storage/types.ts'
 import { createObjectStore } from './object-store.ts'
 import { createTableService, type TableAnswer } from './table-service.ts'
 
--- a/src/standin/replication-log.ts
+++ b/src/emulation/standin/replication-log.ts
@@ -1,6 +1,6 @@
 /** The log of one stand-in upstream. */
-import { comparePositions, LOG_START, type LogPosition } from '../upstreams/position.ts'
-import type { Statement } from '../mysql/types.ts'
+import { comparePositions, LOG_START, type LogPosition } from '../../positions/position.ts'
+import type { Statement } from '../../mysql/types.ts'
 
 /** One committed change, or the start of a term when it has no statements. */
 interface LogRecord extends LogPosition {
--- a/src/standin/request-ledger.ts
+++ b/src/emulation/standin/request-ledger.ts
@@ -1,10 +1,10 @@
 /** The procedures by which a request runs at most once. */
 import { Buffer } from 'node:buffer'
-import type { UpstreamStatus } from '../upstreams/status.ts'
-import type { RowsAnswer, Statement } from '../mysql/types.ts'
+import type { UpstreamStatus } from '../../mysql-proxy/upstreams/status.ts'
+import type { RowsAnswer, Statement } from '../../mysql/types.ts'
 import type { UpstreamTransaction } from './upstream-transaction.ts'
 import type { Upstream } from './upstream.ts'
-import { textColumn } from '../mysql/answer-writer.ts'
+import { textColumn } from '../../mysql/answer-writer.ts'
 
 /** A key and the attempt made under it. */
 export interface LedgerAttempt {
--- a/src/standin/upstream-server.ts
+++ b/src/emulation/standin/upstream-server.ts
@@ -1,10 +1,10 @@
 /** Serves one stand-in upstream over the MySQL protocol, with slots, a connection limit and faults. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import PQueue from 'p-queue'
-import { describeThrown } from '../core/errors/index.ts'
-import { doubleSha1 } from '../mysql/password.ts'
-import { listenMysql, type ListeningServer, type Refusal } from '../mysql/server.ts'
-import { MYSQL_ERROR } from '../mysql/consts.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import { doubleSha1 } from '../../mysql/password.ts'
+import { listenMysql, type ListeningServer, type Refusal } from '../../mysql/server.ts'
+import { MYSQL_ERROR } from '../../mysql/consts.ts'
 import { createUpstreamSession, type SessionFaults } from './upstream-session.ts'
 import type { Upstream } from './upstream.ts'
 
--- a/src/standin/upstream-session.ts
+++ b/src/emulation/standin/upstream-session.ts
@@ -1,10 +1,10 @@
 /** One client's connection to a stand-in upstream: statements, transactions and procedures. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type PQueue from 'p-queue'
-import { tokenizeStatement } from '../mysql/statement-lexer.ts'
-import { EMPTY_ANSWER, type Answer, type Statement } from '../mysql/types.ts'
-import type { ClientHandler } from '../mysql/server.ts'
-import { PROCEDURES, type ProcedureName } from '../upstreams/procedures.ts'
+import { tokenizeStatement } from '../../mysql/statement-lexer.ts'
+import { EMPTY_ANSWER, type Answer, type Statement } from '../../mysql/types.ts'
+import type { ClientHandler } from '../../mysql/server.ts'
+import { PROCEDURES, type ProcedureName } from '../../mysql-proxy/upstreams/procedures.ts'
 import { firstWord, isReadStatement } from './database.ts'
 import {
   contestAttempt, enterAttempt, findRow, ledgerAnswer, rowAnswer, sweepStatement, type LedgerAttempt
--- a/src/standin/upstream-transaction.ts
+++ b/src/emulation/standin/upstream-transaction.ts
@@ -1,6 +1,6 @@
 /** An open transaction on a stand-in upstream. */
-import type { Answer, Statement } from '../mysql/types.ts'
-import type { LogPosition } from '../upstreams/position.ts'
+import type { Answer, Statement } from '../../mysql/types.ts'
+import type { LogPosition } from '../../positions/position.ts'
 
 /** An open transaction. */
 export interface UpstreamTransaction {
--- a/src/standin/upstream.ts
+++ b/src/emulation/standin/upstream.ts
@@ -1,8 +1,8 @@
 /** A stand-in database server: terms, fencing, roles and asynchronous replication. */
 import { randomUUID } from 'node:crypto'
-import { silentLogger, type Logger } from '../core/logger/index.ts'
-import type { Answer, Statement } from '../mysql/types.ts'
-import type { UpstreamStatus } from '../upstreams/status.ts'
+import { silentLogger, type Logger } from '../../core/logger/index.ts'
+import type { Answer, Statement } from '../../mysql/types.ts'
+import type { UpstreamStatus } from '../../mysql-proxy/upstreams/status.ts'
 import { ChangeSignal } from './change-signal.ts'
 import { isReadStatement, openDatabase, type Database } from './database.ts'
 import type { UpstreamTransaction } from './upstream-transaction.ts'
--- a/src/desired-state/index.ts
+++ b/src/entry/desired-state/index.ts
@@ -1,7 +1,7 @@
 /** Plug-in `desiredState`: what the operator wants. Within the life of a process its version only rises. */
-import { describeThrown } from '../core/errors/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
-import { createWaiters } from '../core/time/waiters.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
+import { createWaiters } from '../../core/time/waiters.ts'
 import type { DesiredState, StoreRow } from '../ports/index.ts'
 import { followTable } from '../registry/follow-table.ts'
 import '../registry/table-news.ts'
@@ -29,7 +29,7 @@
   reach: (version: number, timeoutMs: number) => Promise<boolean>
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { desiredState: DesiredStateInForce }
 }
 
--- a/src/directory/index.ts
+++ b/src/entry/directory/index.ts
@@ -1,5 +1,5 @@
 /** Plug-in `directory`: the upstreams that exist. */
-import { registerPlugin } from '../core/kernel/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
 import type { StoreRow } from '../ports/index.ts'
 import { followTable, GATHER_MS } from '../registry/follow-table.ts'
 import '../registry/table-news.ts'
@@ -13,7 +13,7 @@
   onChange: (listener: (change: DirectoryChange) => void) => void
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { directory: Directory }
 }
 
--- a/src/freshness/group-freshness.ts
+++ b/src/entry/freshness/group-freshness.ts
@@ -3,7 +3,7 @@
  * with position p proves that everything acknowledged before t is at or before p. A read that accepts an age goes to
  * any upstream whose log has reached the position of a proof from that long ago; the upstream itself checks this.
  */
-import { comparePositions, laterPosition, type LogPosition } from '../upstreams/position.ts'
+import { comparePositions, laterPosition, type LogPosition } from '../../positions/position.ts'
 
 /** Age beyond which proofs are dropped, in milliseconds; above every age that routes accept, checked when read. */
 const KEPT_MS = 10_000
--- a/src/freshness/index.ts
+++ b/src/entry/freshness/index.ts
@@ -1,5 +1,5 @@
 /** Plug-in `freshness`: the proofs of every group. */
-import { registerPlugin } from '../core/kernel/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
 import { createGroupFreshness, type GroupFreshness } from './group-freshness.ts'
 import { createProofExchange, type ProofExchange } from './proof-exchange.ts'
 
@@ -8,7 +8,7 @@
   of: (group: string) => GroupFreshness
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { freshness: FreshnessOfGroups }
 }
 
--- a/src/freshness/proof-exchange.ts
+++ b/src/entry/freshness/proof-exchange.ts
@@ -3,12 +3,12 @@
  * peers for theirs, so that its reads need not all go to the primary.
  */
 import * as z from 'zod'
-import { describeThrown } from '../core/errors/index.ts'
-import type { Logger } from '../core/logger/index.ts'
-import type { Peers } from '../peers/index.ts'
-import { chooseSome } from '../core/random.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import type { Peers } from '../../peers/index.ts'
+import { chooseSome } from '../../core/random.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
-import { formatPosition } from '../upstreams/position.ts'
+import { formatPosition } from '../../positions/position.ts'
 import type { GroupFreshness } from './group-freshness.ts'
 
 /** Peers that are asked at once: the homes of the primary, and others chosen at random, more than a cut takes away. */
--- a/src/homes/consts.ts
+++ b/src/entry/homes/consts.ts
@@ -1,19 +1,5 @@
 /** Figures of homes; times in milliseconds. */
 
-/**
- * Least number of connections that a home has of an upstream's cap. A statement or a transaction takes one; with fewer
- * in one hand, some hosts wait for theirs while those of others are idle.
- */
-export const CONNECTIONS_PER_HOME = 8
-/**
- * Homes of an upstream beyond one for each of its slots. Each home has two statements in progress at least, so that
- * more homes than that send more to the upstream than it can run, where changes then wait behind reads: played with
- * 1.15 times the work that two slots do, 268 of 367 changes were in time with eleven homes, all with three. One more
- * makes up for a home that is gone.
- */
-export const SPARE_HOMES = 1
-/** Least number of homes of an upstream, so that the loss of one leaves another. */
-export const LEAST_HOMES = 2
 /**
  * Part of the cap that homes leave free, and the least number of connections: for questions of control, and for hosts
  * that reach no home.
--- a/src/homes/home-choice.ts
+++ b/src/entry/homes/home-choice.ts
@@ -1,7 +1,7 @@
 /** Chooses among the homes of an upstream by what was seen of each: whether it answers, and how much it has to do. */
 import type { KnownHost } from '../registry/index.ts'
 import { ASK_AGAIN_MS, LOAD_COST_MS, LOAD_HALF_LIFE_MS, OTHER_HOME_MS, OVERHEAD } from './consts.ts'
-import { orderByScore } from './placement.ts'
+import { orderByScore } from '../../placement/upstream-homes.ts'
 
 /** What a home tells with each answer. */
 interface HomeReport {
--- a/src/homes/home-watch.ts
+++ b/src/entry/homes/home-watch.ts
@@ -3,10 +3,10 @@
  * elsewhere leaves it, and it is passed over until it answers. Requests of callers find out one home at a time, at 0.2
  * to 0.3 s each: when 71 hosts were split in two, they met silent homes 3,667 times in 1.5 s. So hosts ask in advance.
  */
-import { describeThrown } from '../core/errors/index.ts'
-import type { Logger } from '../core/logger/index.ts'
-import { TIMED_OUT, within } from '../core/time/deadline.ts'
-import type { Peers } from '../peers/index.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { TIMED_OUT, within } from '../../core/time/deadline.ts'
+import type { Peers } from '../../peers/index.ts'
 import type { KnownHost } from '../registry/index.ts'
 import { HOME_ANSWER_MS, HOME_GONE_MS, HOME_SILENCE_MS, LOOK_AROUND } from './consts.ts'
 import type { HomeChoice } from './home-choice.ts'
--- a/src/homes/index.ts
+++ b/src/entry/homes/index.ts
@@ -1,13 +1,13 @@
 /** Plug-in `homes`: which hosts hold the connections to each upstream, and the links to them. */
-import { RequestError, type Verdict } from '../core/errors/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
+import { RequestError, type Verdict } from '../../core/errors/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import type { KnownHost } from '../registry/index.ts'
 import { HOME_GONE_MS } from './consts.ts'
 import { createHomeChoice } from './home-choice.ts'
 import { createHomeWatch } from './home-watch.ts'
 import { homeReplySchema, type HomeReply } from './messages.ts'
-import { homesOf } from './placement.ts'
+import { homesOf } from '../../placement/upstream-homes.ts'
 
 export * from './messages.ts'
 export { HOP_GRACE_MS } from './consts.ts'
@@ -82,7 +82,7 @@
   noteSilent: (host: KnownHost, thrown: unknown) => void
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { homes: Homes }
 }
 
--- a/src/homes/messages.ts
+++ b/src/entry/homes/messages.ts
@@ -1,6 +1,6 @@
 /** Frames between a host and a home of an upstream. */
 import * as z from 'zod'
-import { logPositionSchema } from '../upstreams/position.ts'
+import { logPositionSchema } from '../../positions/position.ts'
 
 const preparedSchema = z.object({ access: z.enum(['read', 'write']), shape: z.string() })
 
--- a/src/leadership/duty.ts
+++ b/src/entry/leadership/duty.ts
@@ -1,8 +1,8 @@
 /** The duty of promoting: one host at a time, by a lease in the store with a fencing token that only rises. */
-import { describeThrown } from '../core/errors/index.ts'
-import type { Logger } from '../core/logger/index.ts'
-import type { Peers } from '../peers/index.ts'
-import { isRefusal } from '../peers/refusal.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import type { Peers } from '../../peers/index.ts'
+import { isRefusal } from '../../peers/refusal.ts'
 import { registryKeys, type DutyRow, type Registry } from '../registry/index.ts'
 import { CLOSE_TRY_MS, DUTY_LEASE_MS, DUTY_REST_MS } from './consts.ts'
 
--- a/src/leadership/extensions.ts
+++ b/src/entry/leadership/extensions.ts
@@ -3,10 +3,10 @@
  * grants a short time more. A host that has stopped working at a primary says so with its grant, so that a promoter
  * which has stopped enough hosts need not wait longer for one that is silent.
  */
-import { describeThrown } from '../core/errors/index.ts'
-import type { Logger } from '../core/logger/index.ts'
-import { repeat } from '../core/time/repeat.ts'
-import type { Peers } from '../peers/index.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { repeat } from '../../core/time/repeat.ts'
+import type { Peers } from '../../peers/index.ts'
 import { RIGHT_MS } from '../registry/consts.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
 import { EXTEND_AFTER_MS, EXTEND_LOOK_MS, GRANT_MS } from './consts.ts'
--- a/src/leadership/first-primary.ts
+++ b/src/entry/leadership/first-primary.ts
@@ -1,5 +1,5 @@
 /** Names the first primary of a group: the one upstream that takes itself for it. */
-import type { Logger } from '../core/logger/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
 import type { Directory } from '../directory/index.ts'
 import { registryKeys, type GroupRow, type Registry } from '../registry/index.ts'
 
--- a/src/leadership/index.ts
+++ b/src/entry/leadership/index.ts
@@ -2,10 +2,10 @@
  * Plug-in `leadership`: which upstream is the primary of each group, whether this host may work there, and the making
  * of another primary. See docs/PLATFORM.md for why it is safe.
  */
-import { describeThrown } from '../core/errors/index.ts'
-import { registerPlugin, type PluginContext } from '../core/kernel/index.ts'
-import { pause } from '../core/time/deadline.ts'
-import { repeat } from '../core/time/repeat.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import { registerPlugin, type PluginContext } from '../../core/kernel/index.ts'
+import { pause } from '../../core/time/deadline.ts'
+import { repeat } from '../../core/time/repeat.ts'
 import type { GroupRow } from '../registry/index.ts'
 import { PROBE_MS, STEP_BACK_MS, SUSPECT_MS, WATCH_MS } from './consts.ts'
 import { createDuty } from './duty.ts'
@@ -31,7 +31,7 @@
   suspect: (upstream: string) => void
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { leadership: Leadership }
 }
 
--- a/src/leadership/local-closing.ts
+++ b/src/entry/leadership/local-closing.ts
@@ -1,6 +1,6 @@
 /** Ends this host's work at a primary: when an epoch is closed, and when the right has lapsed. */
-import type { Logger } from '../core/logger/index.ts'
-import { pause } from '../core/time/deadline.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { pause } from '../../core/time/deadline.ts'
 import type { Directory } from '../directory/index.ts'
 import type { Pools } from '../pools/index.ts'
 import { RIGHT_MS } from '../registry/consts.ts'
--- a/src/leadership/promote.ts
+++ b/src/entry/leadership/promote.ts
@@ -1,12 +1,12 @@
 /** Chooses who leads a group next, orders the promotion, and waits until it has taken effect. */
-import { describeThrown } from '../core/errors/index.ts'
-import type { Logger } from '../core/logger/index.ts'
-import { pause } from '../core/time/deadline.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { pause } from '../../core/time/deadline.ts'
 import type { Directory, KnownUpstream } from '../directory/index.ts'
 import type { Pools } from '../pools/index.ts'
 import type { PromotionPort, UpstreamReport } from '../ports/index.ts'
 import type { GroupRow, Registry } from '../registry/index.ts'
-import { comparePositions, formatPosition } from '../upstreams/position.ts'
+import { comparePositions, formatPosition } from '../../positions/position.ts'
 import { ORDER_TRIES, OUTDATED_WAIT_MS, PROBE_MS, SUCCESSOR_POLL_MS, TAKE_EFFECT_MS } from './consts.ts'
 import type { Duty } from './duty.ts'
 
--- a/src/leadership/rights.ts
+++ b/src/entry/leadership/rights.ts
@@ -2,7 +2,7 @@
  * The right of this host to work at a primary. It rests on the group's row, on the age of the last confirmation of the
  * registry, and on what peers have asked to be closed.
  */
-import { createWaiters } from '../core/time/waiters.ts'
+import { createWaiters } from '../../core/time/waiters.ts'
 import type { Registry } from '../registry/index.ts'
 import { EXTENDED_RIGHT_MS, RIGHT_MS } from '../registry/consts.ts'
 import type { ClosedEpoch, PrimaryRight } from './types.ts'
--- a/src/leadership/stop-notice.ts
+++ b/src/entry/leadership/stop-notice.ts
@@ -2,9 +2,9 @@
  * Tells promoters through the store that this host has stopped working at a closed primary, when no peer asks it: one
  * that is cut off from its peers may still hear the store, and a promoter need not wait for its right to lapse.
  */
-import { describeThrown } from '../core/errors/index.ts'
-import type { Logger } from '../core/logger/index.ts'
-import { pause } from '../core/time/deadline.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { pause } from '../../core/time/deadline.ts'
 import type { Registry } from '../registry/index.ts'
 import { ANSWER_LOST_MS, ASKED_TO_STOP_MS } from './consts.ts'
 import type { LocalClosing } from './local-closing.ts'
--- a/src/leadership/watch.ts
+++ b/src/entry/leadership/watch.ts
@@ -1,8 +1,8 @@
 /** Watches every group and decides when this host acts on what a group needs. */
 import { createHash } from 'node:crypto'
-import { describeThrown } from '../core/errors/index.ts'
-import type { Logger } from '../core/logger/index.ts'
-import { pause } from '../core/time/deadline.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { pause } from '../../core/time/deadline.ts'
 import type { Directory } from '../directory/index.ts'
 import type { Homes } from '../homes/index.ts'
 import type { Pools } from '../pools/index.ts'
--- a/src/limits/credits.ts
+++ b/src/entry/limits/credits.ts
@@ -3,7 +3,7 @@
  * that is not there has it asked for, together with all who need one at the same time and, where an organisation asks
  * often, with what it is expected to need next.
  */
-import { RequestError } from '../core/errors/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
 import type { OperationLimit } from '../ports/index.ts'
 import type { Grant } from './allowance.ts'
 import { AHEAD_MS, NOBODY_KNOWS_MS, RATE_HALF_LIFE_MS, REFUSED_HERE_MS } from './consts.ts'
--- a/src/limits/index.ts
+++ b/src/entry/limits/index.ts
@@ -5,10 +5,10 @@
  * the limit that the hosts it can see have of all, and one that stands in for it a quarter.
  */
 import * as z from 'zod'
-import type { EntrySettings } from '../core/config/entry-settings.ts'
-import { describeThrown } from '../core/errors/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
-import { orderByScore } from '../homes/placement.ts'
+import type { EntrySettings } from '../../core/config/entry-settings.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
+import { orderByScore } from '../../placement/upstream-homes.ts'
 import type { OperationLimit, Organisation } from '../ports/index.ts'
 import type { KnownHost } from '../registry/index.ts'
 import { createAskers } from './askers.ts'
@@ -33,7 +33,7 @@
   countAgain: (organisation: string) => void
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { limits: Limits }
 }
 
--- a/src/limits/pace.ts
+++ b/src/entry/limits/pace.ts
@@ -4,7 +4,7 @@
  * share what goes beyond the rate: half of it may be taken at once, and the other half comes with the flow, again in
  * each span.
  */
-import type { EntrySettings } from '../core/config/entry-settings.ts'
+import type { EntrySettings } from '../../core/config/entry-settings.ts'
 import type { OperationLimit } from '../ports/index.ts'
 
 /** How limits are counted. */
--- a/src/limits/stalls.ts
+++ b/src/entry/limits/stalls.ts
@@ -1,5 +1,5 @@
 /** Notices that this process has stood still: others may have done its work meanwhile. */
-import { repeat } from '../core/time/repeat.ts'
+import { repeat } from '../../core/time/repeat.ts'
 
 /** Time between two looks at the clock, in milliseconds. */
 const LOOK_MS = 500
--- a/src/organisations/identify.ts
+++ b/src/entry/organisations/identify.ts
@@ -2,7 +2,7 @@
  * Says on behalf of which organisation a caller asks. Callers name a key; which organisation holds it stands in the
  * desired state, so that a key that is taken away or passed on binds with the next statement outside a transaction.
  */
-import { RequestError } from '../core/errors/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
 import type { DesiredState, Organisation, Route } from '../ports/index.ts'
 
 /** Stands for callers of no organisation, on routes that ask for no key. */
--- a/src/pools/align-connection.ts
+++ b/src/entry/pools/align-connection.ts
@@ -1,5 +1,5 @@
 /** Brings a shared connection to the state that a session needs. */
-import { RequestError } from '../core/errors/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
 import type { PreparedShape, UpstreamCommand } from '../ports/index.ts'
 import type { ConnectionLease } from './types.ts'
 
--- a/src/pools/index.ts
+++ b/src/entry/pools/index.ts
@@ -1,8 +1,8 @@
 /** Plug-in `pools`: this host's connections to every upstream, and what it has seen of each. */
-import { registerPlugin } from '../core/kernel/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import type { UpstreamReport } from '../ports/index.ts'
-import { TIMED_OUT, within } from '../core/time/deadline.ts'
+import { TIMED_OUT, within } from '../../core/time/deadline.ts'
 import { connectionLimits, type ConnectionLimits } from './connection-limits.ts'
 import { createUpstreamHealth, type UpstreamHealth } from './upstream-health.ts'
 import { createStatementGate, type StatementGate } from './statement-gate.ts'
@@ -35,7 +35,7 @@
   demote: (upstream: KnownUpstream, term: number, timeoutMs: number) => Promise<UpstreamReport | undefined>
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { pools: Pools }
 }
 
--- a/src/pools/statement-gate.ts
+++ b/src/entry/pools/statement-gate.ts
@@ -5,7 +5,7 @@
  * refused as soon as that is known.
  */
 import PQueue from 'p-queue'
-import { RequestError } from '../core/errors/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
 
 /**
  * Statements in progress at an upstream for each that it can run at a time: with less, a slot would stand idle while
--- a/src/pools/upstream-health.ts
+++ b/src/entry/pools/upstream-health.ts
@@ -1,5 +1,5 @@
 /** What this host has seen of an upstream: whether it answers, how fast, and whether it has lagged. */
-import { laterPosition, type LogPosition } from '../upstreams/position.ts'
+import { laterPosition, type LogPosition } from '../../positions/position.ts'
 import type { UpstreamFault } from './types.ts'
 
 /** Weight of a new latency in the running mean. */
--- a/src/pools/upstream-pool.ts
+++ b/src/entry/pools/upstream-pool.ts
@@ -1,5 +1,5 @@
 /** Connections of this host to one upstream. */
-import { RequestError } from '../core/errors/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
 import type { UpstreamPort, UpstreamTarget } from '../ports/index.ts'
 import { mismatchOf } from './align-connection.ts'
 import type { ConnectionLimits } from './connection-limits.ts'
--- a/src/ports/statements.ts
+++ b/src/entry/ports/statements.ts
@@ -1,6 +1,6 @@
 /** Statements of callers and their answers, whatever protocol carries them. */
-import type { Verdict } from '../core/errors/index.ts'
-import type { LogPosition } from '../upstreams/position.ts'
+import type { Verdict } from '../../core/errors/index.ts'
+import type { LogPosition } from '../../positions/position.ts'
 
 /** Whether a statement reads or writes. */
 export type Access = 'read' | 'write'
--- a/src/ports/types.ts
+++ b/src/entry/ports/types.ts
@@ -1,6 +1,6 @@
 /** The ports of the entry process. */
-import type { Endpoint } from '../core/wire/dialer.ts'
-import type { LogPosition } from '../upstreams/position.ts'
+import type { Endpoint } from '../../core/wire/dialer.ts'
+import type { LogPosition } from '../../positions/position.ts'
 import type { CallerHandler, CallerLink, PreparedShape, StatementAnswer } from './statements.ts'
 
 /** A listening socket for callers. */
@@ -260,6 +260,6 @@
   promotion: PromotionPort
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { ports: Ports }
 }
--- a/src/readiness/index.ts
+++ b/src/entry/readiness/index.ts
@@ -1,10 +1,10 @@
 /** Plug-in `readiness`: answers the balancer, and shows metrics and the state dump on a port of their own. */
 import { createServer, type Server } from 'node:http'
-import type { EntrySettings } from '../core/config/entry-settings.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
-import { parseEndpoint, type Endpoint } from '../core/wire/dialer.ts'
+import type { EntrySettings } from '../../core/config/entry-settings.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
+import { parseEndpoint, type Endpoint } from '../../core/wire/dialer.ts'
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { readiness: Record<string, never> }
 }
 
--- a/src/registry/follow-table.ts
+++ b/src/entry/registry/follow-table.ts
@@ -2,10 +2,10 @@
  * Keeps up with a table of the store: learns it whole, then its changes, and starts again when that breaks. Few hosts
  * ask the store, the others ask them.
  */
-import { describeThrown } from '../core/errors/index.ts'
-import type { Logger } from '../core/logger/index.ts'
-import { pause } from '../core/time/deadline.ts'
-import { repeat } from '../core/time/repeat.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { pause } from '../../core/time/deadline.ts'
+import { repeat } from '../../core/time/repeat.ts'
 import type { StorePort, StoreRow } from '../ports/index.ts'
 import { createTableCopy } from './table-copy.ts'
 import type { TableNews } from './table-news.ts'
--- a/src/registry/index.ts
+++ b/src/entry/registry/index.ts
@@ -3,11 +3,11 @@
  * again, and asks peers for their copy while the store does not answer this host.
  */
 import { randomUUID } from 'node:crypto'
-import type { EntrySettings } from '../core/config/entry-settings.ts'
-import { describeThrown, WorkswardError } from '../core/errors/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
-import { TIMED_OUT, within } from '../core/time/deadline.ts'
-import { repeat } from '../core/time/repeat.ts'
+import type { EntrySettings } from '../../core/config/entry-settings.ts'
+import { describeThrown, WorkswardError } from '../../core/errors/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
+import { TIMED_OUT, within } from '../../core/time/deadline.ts'
+import { repeat } from '../../core/time/repeat.ts'
 import type { StoreTransaction } from '../ports/index.ts'
 import { watchNeighbour } from './neighbour-watch.ts'
 import { EXTENDED_RIGHT_MS, RIGHT_MARGIN_MS } from './consts.ts'
@@ -22,7 +22,7 @@
 export type { Registry } from './service.ts'
 export * from './types.ts'
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { registry: Registry }
 }
 
--- a/src/registry/learning.ts
+++ b/src/entry/registry/learning.ts
@@ -1,6 +1,6 @@
 /** Brings the registry from hosts that read it for others, so that few hosts ask the store. */
-import { pause } from '../core/time/deadline.ts'
-import { repeat } from '../core/time/repeat.ts'
+import { pause } from '../../core/time/deadline.ts'
+import { repeat } from '../../core/time/repeat.ts'
 import { createAvoidance } from './avoidance.ts'
 import { followersOf, orderFor, readersOf } from './readers.ts'
 import type { Relay } from './relay.ts'
--- a/src/registry/neighbour-watch.ts
+++ b/src/entry/registry/neighbour-watch.ts
@@ -3,11 +3,11 @@
  * has no right to primaries once the time in its row has passed, so that a failover need not wait for it. A host that
  * is alive after all registers itself again as soon as it reads the table.
  */
-import { describeThrown } from '../core/errors/index.ts'
-import type { Logger } from '../core/logger/index.ts'
-import { repeat } from '../core/time/repeat.ts'
-import type { Peers } from '../peers/index.ts'
-import { isRefusal } from '../peers/refusal.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { repeat } from '../../core/time/repeat.ts'
+import type { Peers } from '../../peers/index.ts'
+import { isRefusal } from '../../peers/refusal.ts'
 import type { Registry } from './service.ts'
 import type { KnownHost } from './snapshot.ts'
 import { hostRowSchema, registryKeys, RETIRED_PROCESS, type HostRow } from './types.ts'
--- a/src/registry/relay.ts
+++ b/src/entry/registry/relay.ts
@@ -1,9 +1,9 @@
 /** Passes the registry on between hosts, with its age, so that few hosts read it from the store. */
 import type * as z from 'zod'
-import { describeThrown } from '../core/errors/index.ts'
-import type { Logger } from '../core/logger/index.ts'
-import { createWaiters } from '../core/time/waiters.ts'
-import type { Peers } from '../peers/index.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { createWaiters } from '../../core/time/waiters.ts'
+import type { Peers } from '../../peers/index.ts'
 import { createSnapshot, type KnownHost, type RegistrySnapshot } from './snapshot.ts'
 import { relayedSnapshotSchema, snapshotQuestionSchema, type RelayedSnapshot } from './types.ts'
 
--- a/src/registry/table-copy.ts
+++ b/src/entry/registry/table-copy.ts
@@ -1,5 +1,5 @@
 /** A table of the store as this host knows it, and what has changed there, for hosts that don't follow it. */
-import { createWaiters } from '../core/time/waiters.ts'
+import { createWaiters } from '../../core/time/waiters.ts'
 import type { StoreRow } from '../ports/index.ts'
 
 /** What has changed in a table since a version, or all of it. */
--- a/src/registry/table-news.ts
+++ b/src/entry/registry/table-news.ts
@@ -4,10 +4,10 @@
  * question has not brought reads the table again.
  */
 import * as z from 'zod'
-import { describeThrown } from '../core/errors/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
-import { chooseSome } from '../core/random.ts'
-import { pause } from '../core/time/deadline.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
+import { chooseSome } from '../../core/random.ts'
+import { pause } from '../../core/time/deadline.ts'
 import { followersOf } from './readers.ts'
 import type { KnownHost } from './snapshot.ts'
 
@@ -24,7 +24,7 @@
   onTold: (table: string, listener: (version: number, peer: string) => void) => void
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { tableNews: TableNews }
 }
 
--- a/src/registry/table-relay.ts
+++ b/src/entry/registry/table-relay.ts
@@ -4,9 +4,9 @@
  * hosts that the store turned away asked it thirteen times a second each.
  */
 import * as z from 'zod'
-import { describeThrown } from '../core/errors/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
-import { createWaiters } from '../core/time/waiters.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
+import { createWaiters } from '../../core/time/waiters.ts'
 import { createAvoidance } from './avoidance.ts'
 import { followersOf, orderFor } from './readers.ts'
 import type { KnownHost } from './snapshot.ts'
@@ -39,7 +39,7 @@
   askAnew: (table: string) => Promise<TableChanges | undefined>
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { tableRelay: TableRelay }
 }
 
--- a/src/entry/answers.ts
+++ b/src/entry/requests/answers.ts
@@ -1,5 +1,5 @@
 /** Answers that worksward gives by itself, and the translation of errors to answers. */
-import { RequestError, toRequestError, type ErrorName } from '../core/errors/index.ts'
+import { RequestError, toRequestError, type ErrorName } from '../../core/errors/index.ts'
 import type { FailureKind, StatementAnswer, TransactionState } from '../ports/index.ts'
 
 /** Answers that a statement is done that no upstream needs to run. */
--- a/src/entry/caller-route.ts
+++ b/src/entry/requests/caller-route.ts
@@ -1,5 +1,5 @@
 /** Where a caller's requests go by the desired state in force, and on whose behalf. */
-import { RequestError } from '../core/errors/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
 import { identify } from '../organisations/identify.ts'
 import type { CallerLink, DesiredState, Organisation, Route } from '../ports/index.ts'
 
--- a/src/entry/choose-upstream.ts
+++ b/src/entry/requests/choose-upstream.ts
@@ -1,6 +1,6 @@
 /** Chooses the upstream for a read. */
 import type { KnownHost } from '../registry/index.ts'
-import { comparePositions, type LogPosition } from '../upstreams/position.ts'
+import { comparePositions, type LogPosition } from '../../positions/position.ts'
 import type { ChosenUpstream, EntryContext, RequestScope } from './types.ts'
 import { mayTakeWork } from './primary-access.ts'
 
--- a/src/entry/home-seat.ts
+++ b/src/entry/requests/home-seat.ts
@@ -1,11 +1,11 @@
 /** A place at an upstream that a home of it gives: statements are passed on to that host. */
-import { RequestError, toRequestError } from '../core/errors/index.ts'
+import { RequestError, toRequestError } from '../../core/errors/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import { HOP_GRACE_MS, type HomeReply, type PassedOn, type Step } from '../homes/index.ts'
 import type { UsedUpstream } from '../pools/index.ts'
 import type { StatementAnswer } from '../ports/index.ts'
 import type { KnownHost } from '../registry/index.ts'
-import type { LogPosition } from '../upstreams/position.ts'
+import type { LogPosition } from '../../positions/position.ts'
 import { ROLLBACK_MS } from './consts.ts'
 import type { TimedAnswer } from './run-statement.ts'
 import type { Seat, TransactionStep } from './seat.ts'
--- a/src/entry/home-server.ts
+++ b/src/entry/requests/home-server.ts
@@ -1,14 +1,14 @@
 /** Serves statements that other hosts pass on to this one, as a home of the upstream where they run. */
-import { RequestError } from '../core/errors/index.ts'
-import type { Logger } from '../core/logger/index.ts'
-import { Deadline, pause } from '../core/time/deadline.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { Deadline, pause } from '../../core/time/deadline.ts'
 import type { DesiredStateInForce } from '../desired-state/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import {
   homeRollbackSchema, homeStatementSchema, homeStepSchema, type HomeReply, type HomeStatement, type HomeStep, type Step
 } from '../homes/index.ts'
-import type { Peers } from '../peers/index.ts'
-import type { PeerLink } from '../peers/types.ts'
+import type { Peers } from '../../peers/index.ts'
+import type { PeerLink } from '../../peers/types.ts'
 import type { StatementAnswer } from '../ports/index.ts'
 import type { Registry } from '../registry/index.ts'
 import { NOT_RUN_PAUSE_MS, REACH_VERSION_MS, RETRY_AFTER_MS, STOP_POLL_MS, WAIT_SHARE } from './consts.ts'
--- a/src/entry/index.ts
+++ b/src/entry/requests/index.ts
@@ -1,9 +1,9 @@
 /** Plug-in `entry`: takes callers and serves their sessions. */
-import type { EntrySettings } from '../core/config/entry-settings.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
-import { pause } from '../core/time/deadline.ts'
-import { parseEndpoint } from '../core/wire/dialer.ts'
-import { createRetryBudget } from '../routing/retry-budget.ts'
+import type { EntrySettings } from '../../core/config/entry-settings.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
+import { pause } from '../../core/time/deadline.ts'
+import { parseEndpoint } from '../../core/wire/dialer.ts'
+import { createRetryBudget } from '../../retries/retry-budget.ts'
 import { STOP_IDLE_MS, STOP_POLL_MS, STOP_QUIET_MS, STOP_RESERVE_MS, UNKNOWN_IDLE_MS } from './consts.ts'
 import { serveAsHome } from './home-server.ts'
 import { createPositionProver } from './prove-position.ts'
@@ -11,7 +11,7 @@
 import { createStatementCosts } from './statement-costs.ts'
 import type { EntryContext } from './types.ts'
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { entry: Record<string, never> }
 }
 
--- a/src/entry/primary-access.ts
+++ b/src/entry/requests/primary-access.ts
@@ -1,6 +1,6 @@
 /** The way to the primary of a group: through one of its homes, or directly while this host has the right to it. */
-import { RequestError } from '../core/errors/index.ts'
-import { pause } from '../core/time/deadline.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import { pause } from '../../core/time/deadline.ts'
 import type { ConnectionLease, UsedUpstream } from '../pools/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import {
--- a/src/entry/prove-position.ts
+++ b/src/entry/requests/prove-position.ts
@@ -2,8 +2,8 @@
  * Learns where the log of a group's primary ends, with a statement that takes none of its slots. After all hosts have
  * started at once nobody knows, and reads that would all go to the primary to find out keep it from doing its work.
  */
-import { describeThrown } from '../core/errors/index.ts'
-import { Deadline } from '../core/time/deadline.ts'
+import { describeThrown } from '../../core/errors/index.ts'
+import { Deadline } from '../../core/time/deadline.ts'
 import { seatHere } from './primary-access.ts'
 import { noteAnswer } from './reads.ts'
 import type { EntryContext, RequestScope } from './types.ts'
--- a/src/entry/reads.ts
+++ b/src/entry/requests/reads.ts
@@ -1,8 +1,8 @@
 /** Reads: where they go, and what is tried when an upstream does not serve them. */
-import { RequestError } from '../core/errors/index.ts'
-import { pause } from '../core/time/deadline.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import { pause } from '../../core/time/deadline.ts'
 import { verdictOf, type FailureKind, type Freshness, type StatementAnswer } from '../ports/index.ts'
-import { formatPosition, type LogPosition } from '../upstreams/position.ts'
+import { formatPosition, type LogPosition } from '../../positions/position.ts'
 import { chooseForRead } from './choose-upstream.ts'
 import { NOT_RUN_PAUSE_MS, READ_ATTEMPTS, WAIT_SHARE } from './consts.ts'
 import { createHomeSeat } from './home-seat.ts'
--- a/src/entry/request-log.ts
+++ b/src/entry/requests/request-log.ts
@@ -1,6 +1,6 @@
 /** One line for each request of a caller, and its time in the histograms. */
 import type { CallerRequest, StatementAnswer } from '../ports/index.ts'
-import { formatPosition } from '../upstreams/position.ts'
+import { formatPosition } from '../../positions/position.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
 /** What was done for a request; undefined fields were not needed. */
--- a/src/entry/run-statement.ts
+++ b/src/entry/requests/run-statement.ts
@@ -1,9 +1,9 @@
 /** Runs one statement on a leased connection. */
-import { RequestError, toRequestError } from '../core/errors/index.ts'
-import type { Deadline } from '../core/time/deadline.ts'
+import { RequestError, toRequestError } from '../../core/errors/index.ts'
+import type { Deadline } from '../../core/time/deadline.ts'
 import { alignValues, prepareOn, type ConnectionLease, type UsedUpstream } from '../pools/index.ts'
 import type { StatementAnswer, UpstreamCommand } from '../ports/index.ts'
-import type { LogPosition } from '../upstreams/position.ts'
+import type { LogPosition } from '../../positions/position.ts'
 import { SILENCE_MS } from './consts.ts'
 import type { DataWork } from './types.ts'
 
--- a/src/entry/seat.ts
+++ b/src/entry/requests/seat.ts
@@ -2,13 +2,13 @@
  * A place at an upstream where one statement or one transaction runs: on a connection of this host, or at a home of the
  * upstream that has one.
  */
-import { RequestError, toRequestError } from '../core/errors/index.ts'
-import { TIMED_OUT, within } from '../core/time/deadline.ts'
+import { RequestError, toRequestError } from '../../core/errors/index.ts'
+import { TIMED_OUT, within } from '../../core/time/deadline.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import type { PrimaryRight } from '../leadership/index.ts'
 import type { ConnectionLease, UsedUpstream } from '../pools/index.ts'
 import type { UpstreamCommand } from '../ports/index.ts'
-import type { LogPosition } from '../upstreams/position.ts'
+import type { LogPosition } from '../../positions/position.ts'
 import { ROLLBACK_MS } from './consts.ts'
 import { runCommand, runWork, type RunOptions, type TimedAnswer } from './run-statement.ts'
 import type { DataWork, EntryContext, RequestScope } from './types.ts'
--- a/src/entry/session.ts
+++ b/src/entry/requests/session.ts
@@ -1,11 +1,11 @@
 /** One caller's session: its values, its prepared statements, its floor, and its transaction. */
-import { RequestError, toRequestError } from '../core/errors/index.ts'
-import { Deadline } from '../core/time/deadline.ts'
+import { RequestError, toRequestError } from '../../core/errors/index.ts'
+import { Deadline } from '../../core/time/deadline.ts'
 import {
   verdictOf, type CallerHandler, type CallerLink, type CallerRequest, type CallerStatement, type DesiredState,
   type Organisation, type PreparedShape, type StatementAnswer, type TransactionState
 } from '../ports/index.ts'
-import { formatPosition, laterPosition, type LogPosition } from '../upstreams/position.ts'
+import { formatPosition, laterPosition, type LogPosition } from '../../positions/position.ts'
 import { doneAnswer, failureAnswer, failureOf } from './answers.ts'
 import { findCallerRoute, mayGoOn, type CallerRoute } from './caller-route.ts'
 import { RETRY_AFTER_MS, STATE_WAIT_MS } from './consts.ts'
--- a/src/entry/transaction.ts
+++ b/src/entry/requests/transaction.ts
@@ -1,6 +1,6 @@
 /** One transaction of a caller. It begins at an upstream with its first statement and stays on that connection. */
-import { RequestError, toRequestError } from '../core/errors/index.ts'
-import { pause } from '../core/time/deadline.ts'
+import { RequestError, toRequestError } from '../../core/errors/index.ts'
+import { pause } from '../../core/time/deadline.ts'
 import type { Organisation, Route, StatementAnswer } from '../ports/index.ts'
 import { verdictOf } from '../ports/index.ts'
 import { NOT_RUN_PAUSE_MS, READ_ATTEMPTS } from './consts.ts'
--- a/src/entry/types.ts
+++ b/src/entry/requests/types.ts
@@ -1,7 +1,7 @@
 /** Types of serving callers. */
 import type { StatementCosts } from './statement-costs.ts'
-import type { RetryBudget } from '../routing/retry-budget.ts'
-import type { Logger } from '../core/logger/index.ts'
+import type { RetryBudget } from '../../retries/retry-budget.ts'
+import type { Logger } from '../../core/logger/index.ts'
 import type { Directory } from '../directory/index.ts'
 import type { FreshnessOfGroups } from '../freshness/index.ts'
 import type { Limits } from '../limits/index.ts'
@@ -10,7 +10,7 @@
 import type { Homes } from '../homes/index.ts'
 import type { Access, PreparedShape } from '../ports/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
-import type { Deadline } from '../core/time/deadline.ts'
+import type { Deadline } from '../../core/time/deadline.ts'
 
 /** What serving a request needs from the rest of the process. */
 export interface EntryContext {
--- a/src/entry/writes.ts
+++ b/src/entry/requests/writes.ts
@@ -1,6 +1,6 @@
 /** Single writes: sent once to the primary, and again only when the upstream has certainly not run them. */
-import { toRequestError, type ErrorName } from '../core/errors/index.ts'
-import { pause } from '../core/time/deadline.ts'
+import { toRequestError, type ErrorName } from '../../core/errors/index.ts'
+import { pause } from '../../core/time/deadline.ts'
 import type { FailureKind, StatementAnswer } from '../ports/index.ts'
 import { NOT_RUN_PAUSE_MS, WRITE_ATTEMPTS } from './consts.ts'
 import { seatAtPrimary } from './primary-access.ts'
--- a/src/store/index.ts
+++ b/src/entry/store/index.ts
@@ -1,8 +1,8 @@
 /** Plug-in `store`: the store with the time of each call measured. */
-import { registerPlugin } from '../core/kernel/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
 import type { StorePort } from '../ports/index.ts'
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { store: StorePort }
 }
 
--- a/src/callers/caller-transaction.ts
+++ b/src/mysql-proxy/callers/caller-transaction.ts
@@ -1,8 +1,8 @@
 /** The transaction of one caller's connection: it lives at the home where it began. */
 import { randomUUID } from 'node:crypto'
-import { RequestError } from '../core/errors/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
 import { createRequestKey, fingerprintOf } from '../ledger/request-key.ts'
-import type { Answer, Statement } from '../mysql/types.ts'
+import type { Answer, Statement } from '../../mysql/types.ts'
 import type { HomeRequests } from '../routing/home-requests.ts'
 
 /** What every request to a home carries. */
--- a/src/callers/hint.ts
+++ b/src/mysql-proxy/callers/hint.ts
@@ -1,7 +1,7 @@
 /** What a request says of itself, in a comment of SQLCommenter form. */
 import * as z from 'zod'
-import { RequestError } from '../core/errors/index.ts'
-import { tokenizeStatement } from '../mysql/statement-lexer.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import { tokenizeStatement } from '../../mysql/statement-lexer.ts'
 
 /** What a request can say of itself. */
 export const hintSchema = z.strictObject({
--- a/src/callers/index.ts
+++ b/src/mysql-proxy/callers/index.ts
@@ -1,12 +1,12 @@
 /** Plug-in `callers`: takes callers over the MySQL protocol. */
-import type { ProxySettings } from '../core/config/index.ts'
-import { describeThrown, RequestError, WorkswardError } from '../core/errors/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
-import { pause } from '../core/time/deadline.ts'
-import { MYSQL_ERROR } from '../mysql/consts.ts'
-import { listenMysql, type ClientHello, type Refusal } from '../mysql/server.ts'
-import type { Answer } from '../mysql/types.ts'
-import type { Metrics } from '../metrics/index.ts'
+import type { ProxySettings } from '../../core/config/index.ts'
+import { describeThrown, RequestError, WorkswardError } from '../../core/errors/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
+import { pause } from '../../core/time/deadline.ts'
+import { MYSQL_ERROR } from '../../mysql/consts.ts'
+import { listenMysql, type ClientHello, type Refusal } from '../../mysql/server.ts'
+import type { Answer } from '../../mysql/types.ts'
+import type { Metrics } from '../../metrics/index.ts'
 import { createSessionTokens } from '../sessions/session-token.ts'
 import { createCallerSession, type CallerSession, type CallerState } from './caller-session.ts'
 
@@ -18,7 +18,7 @@
   connections: () => CallerState[]
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { callers: Callers }
 }
 
--- a/src/callers/session-floors.ts
+++ b/src/mysql-proxy/callers/session-floors.ts
@@ -1,7 +1,7 @@
 /** What a caller's session has seen, group by group, and how the session names itself. */
 import { randomUUID } from 'node:crypto'
 import { isSessionToken, type SessionTokens } from '../sessions/session-token.ts'
-import { joinFloors, NOTHING_SEEN, type SessionFloor } from '../upstreams/position.ts'
+import { joinFloors, NOTHING_SEEN, type SessionFloor } from '../../positions/position.ts'
 
 /** The session of a caller's connection. */
 interface SessionFloors {
--- a/src/configuration/configuration-store.ts
+++ b/src/mysql-proxy/configuration/configuration-store.ts
@@ -1,6 +1,6 @@
 /** The configuration in the platform: one row for each group, a count of changes, and a record of each change. */
-import { WorkswardError } from '../core/errors/index.ts'
-import type { Group } from '../core/config/index.ts'
+import { WorkswardError } from '../../core/errors/index.ts'
+import type { Group } from '../../core/config/index.ts'
 import {
   HEAD_SORT, LOWEST_SORT, PARTITIONS, type ConditionalRow, type PlatformObjects, type PlatformTable, type TableRow
 } from '../storage/types.ts'
--- a/src/configuration/index.ts
+++ b/src/mysql-proxy/configuration/index.ts
@@ -2,10 +2,10 @@
  * Plug-in `configuration`: the declarations in force on this process. They come from the platform, or from peers while
  * the platform cannot be had, and only ever go forward.
  */
-import type { Group, MemberSettings } from '../core/config/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
-import { pause } from '../core/time/deadline.ts'
-import { parseEndpoint, type Endpoint } from '../core/wire/dialer.ts'
+import type { Group, MemberSettings } from '../../core/config/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
+import { pause } from '../../core/time/deadline.ts'
+import { parseEndpoint, type Endpoint } from '../../core/wire/dialer.ts'
 import { createConfigurationStore, type ConfigurationStore } from './configuration-store.ts'
 import { changesSchema, sinceSchema, type Changes, type VersionedGroup } from './types.ts'
 
@@ -26,7 +26,7 @@
   store: ConfigurationStore
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { configuration: Configuration }
 }
 
--- a/src/configuration/types.ts
+++ b/src/mysql-proxy/configuration/types.ts
@@ -1,6 +1,6 @@
 /** Configuration in force. */
 import * as z from 'zod'
-import { groupSchema } from '../core/config/index.ts'
+import { groupSchema } from '../../core/config/index.ts'
 
 /** Who changed what, when and why. */
 const changeSchema = z.object({
--- a/src/failover/election.ts
+++ b/src/mysql-proxy/failover/election.ts
@@ -3,9 +3,9 @@
  * acknowledgement any more; the furthest of the fenced is promoted, so that nothing acknowledged is lost. No clock,
  * lease or platform call is part of the argument.
  */
-import { Deadline, within } from '../core/time/deadline.ts'
+import { Deadline, within } from '../../core/time/deadline.ts'
 import type { GroupView, UpstreamView } from '../upstreams/group-view.ts'
-import { comparePositions } from '../upstreams/position.ts'
+import { comparePositions } from '../../positions/position.ts'
 import { logEnd, type UpstreamStatus } from '../upstreams/status.ts'
 
 /** An upstream that has accepted a fence. */
--- a/src/failover/elections.ts
+++ b/src/mysql-proxy/failover/elections.ts
@@ -1,6 +1,6 @@
 /** Runs elections of a group, one at a time, and tells of their outcome. */
-import type { Logger } from '../core/logger/index.ts'
-import { pause } from '../core/time/deadline.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { pause } from '../../core/time/deadline.ts'
 import type { GroupView, Leadership } from '../upstreams/group-view.ts'
 import { electPrimary } from './election.ts'
 
--- a/src/failover/group-watch.ts
+++ b/src/mysql-proxy/failover/group-watch.ts
@@ -1,8 +1,8 @@
 /** Watches one group: probes its upstreams, suspects its primary, and acts when that is certain enough. */
-import type { Group, KeeperSettings } from '../core/config/index.ts'
-import type { Logger } from '../core/logger/index.ts'
-import { pause } from '../core/time/deadline.ts'
-import type { Dialer } from '../core/wire/dialer.ts'
+import type { Group, KeeperSettings } from '../../core/config/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
+import { pause } from '../../core/time/deadline.ts'
+import type { Dialer } from '../../core/wire/dialer.ts'
 import { GroupView, type Leadership } from '../upstreams/group-view.ts'
 import { createElections } from './elections.ts'
 import { followStragglers } from './stragglers.ts'
--- a/src/failover/index.ts
+++ b/src/mysql-proxy/failover/index.ts
@@ -1,9 +1,9 @@
 /** Plug-in `failover`: watches the groups placed on this keeper and makes new primaries. */
-import { RequestError } from '../core/errors/index.ts'
-import type { KeeperSettings } from '../core/config/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import type { KeeperSettings } from '../../core/config/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
 import type { Member } from '../membership/types.ts'
-import { placeGroup } from '../routing/home-placement.ts'
+import { placeGroup } from '../../placement/group-homes.ts'
 import { createGroupWatch, type GroupWatch } from './group-watch.ts'
 import { evidenceSchema, KEEPERS_PER_GROUP, leadershipNoticeSchema, promotionWishSchema } from './types.ts'
 
@@ -13,7 +13,7 @@
   watches: () => Map<string, GroupWatch>
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { failover: Failover }
 }
 
--- a/src/language/mistake.ts
+++ b/src/mysql-proxy/language/mistake.ts
@@ -1,5 +1,5 @@
 /** The message for a wrong command: it points at the spot and suggests the nearest word. */
-import { WorkswardError } from '../core/errors/index.ts'
+import { WorkswardError } from '../../core/errors/index.ts'
 
 /** Most changes of letters at which a word still counts as near. */
 const NEAR = 3
--- a/src/ledger/ledger-sweeper.ts
+++ b/src/mysql-proxy/ledger/ledger-sweeper.ts
@@ -1,7 +1,7 @@
 /** Deletes request keys that are older than they must be remembered, a few at a time. */
-import type { Group } from '../core/config/index.ts'
-import { Deadline } from '../core/time/deadline.ts'
-import { EMPTY_ANSWER } from '../mysql/types.ts'
+import type { Group } from '../../core/config/index.ts'
+import { Deadline } from '../../core/time/deadline.ts'
+import { EMPTY_ANSWER } from '../../mysql/types.ts'
 import type { ConnectionPool } from '../upstreams/connection-pool.ts'
 import type { GroupView } from '../upstreams/group-view.ts'
 import { useManualCommit } from '../upstreams/manual-commit.ts'
--- a/src/ledger/request-key.ts
+++ b/src/mysql-proxy/ledger/request-key.ts
@@ -1,8 +1,8 @@
 /** Request keys, fingerprints and attempts: what makes a request run at most once. */
 import { createHash, randomBytes } from 'node:crypto'
 import * as z from 'zod'
-import { readNamedRows } from '../mysql/named-rows.ts'
-import type { RowsAnswer, Statement, StatementValue } from '../mysql/types.ts'
+import { readNamedRows } from '../../mysql/named-rows.ts'
+import type { RowsAnswer, Statement, StatementValue } from '../../mysql/types.ts'
 
 /** A key and one attempt under it. */
 export interface KeyedAttempt {
--- a/src/membership/heartbeats.ts
+++ b/src/mysql-proxy/membership/heartbeats.ts
@@ -1,6 +1,6 @@
 /** Rounds of heartbeats to a few members at a time, and suspicion of those that do not answer. */
-import type { Endpoint } from '../core/wire/dialer.ts'
-import type { Peers } from '../peers/index.ts'
+import type { Endpoint } from '../../core/wire/dialer.ts'
+import type { Peers } from '../../peers/index.ts'
 import type { MemberList } from './member-list.ts'
 import type { Opinions } from './opinions.ts'
 import { heartbeatSchema, memberSchema, type Heartbeat, type Member } from './types.ts'
--- a/src/membership/index.ts
+++ b/src/mysql-proxy/membership/index.ts
@@ -1,8 +1,8 @@
 /** Plug-in `membership`: who is there. */
-import type { MemberSettings } from '../core/config/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
-import { repeat } from '../core/time/repeat.ts'
-import { parseEndpoint, type Endpoint } from '../core/wire/dialer.ts'
+import type { MemberSettings } from '../../core/config/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
+import { repeat } from '../../core/time/repeat.ts'
+import { parseEndpoint, type Endpoint } from '../../core/wire/dialer.ts'
 import { createHeartbeats } from './heartbeats.ts'
 import { createMemberList } from './member-list.ts'
 import { createOpinions } from './opinions.ts'
@@ -32,7 +32,7 @@
   revisions: () => Map<string, number>
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { membership: Membership }
 }
 
--- a/src/membership/opinions.ts
+++ b/src/mysql-proxy/membership/opinions.ts
@@ -1,5 +1,5 @@
 /** Takes in what is said of processes, and stands up for this one. */
-import type { Logger } from '../core/logger/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
 import type { MemberList } from './member-list.ts'
 import type { Heartbeat, Member } from './types.ts'
 
--- a/src/operators/acceptance.ts
+++ b/src/mysql-proxy/operators/acceptance.ts
@@ -2,9 +2,9 @@
 import { randomUUID } from 'node:crypto'
 import type { Configuration } from '../configuration/index.ts'
 import type { GroupChange } from '../configuration/configuration-store.ts'
-import type { Group } from '../core/config/index.ts'
-import { WorkswardError } from '../core/errors/index.ts'
-import type { Logger } from '../core/logger/index.ts'
+import type { Group } from '../../core/config/index.ts'
+import { WorkswardError } from '../../core/errors/index.ts'
+import type { Logger } from '../../core/logger/index.ts'
 import type { Operator } from './authentication.ts'
 import type { TableRow } from './tables.ts'
 
--- a/src/operators/authentication.ts
+++ b/src/mysql-proxy/operators/authentication.ts
@@ -1,7 +1,7 @@
 /** Who an operator is, by the key presented. */
 import { createHash, timingSafeEqual } from 'node:crypto'
-import type { OPERATOR_RIGHTS, OperatorSettings } from '../core/config/index.ts'
-import { WorkswardError } from '../core/errors/index.ts'
+import type { OPERATOR_RIGHTS, OperatorSettings } from '../../core/config/index.ts'
+import { WorkswardError } from '../../core/errors/index.ts'
 
 /** Something an operator may be allowed to do. */
 type OperatorRight = typeof OPERATOR_RIGHTS[number]
--- a/src/operators/change.ts
+++ b/src/mysql-proxy/operators/change.ts
@@ -1,6 +1,6 @@
 /** Changes of the declarations: what differs, and single values by their path. */
-import { groupSchema, type Declarations, type Group } from '../core/config/index.ts'
-import { WorkswardError } from '../core/errors/index.ts'
+import { groupSchema, type Declarations, type Group } from '../../core/config/index.ts'
+import { WorkswardError } from '../../core/errors/index.ts'
 import type { GroupChange } from '../configuration/configuration-store.ts'
 import type { VersionedGroup } from '../configuration/types.ts'
 import { findNearest } from '../language/mistake.ts'
--- a/src/operators/console.ts
+++ b/src/mysql-proxy/operators/console.ts
@@ -1,16 +1,16 @@
 /** Plug-in `console`: runs the operators' commands on a proxy. */
 import * as z from 'zod'
-import { declarationsSchema, type ProxySettings } from '../core/config/index.ts'
-import { WorkswardError } from '../core/errors/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
+import { declarationsSchema, type ProxySettings } from '../../core/config/index.ts'
+import { WorkswardError } from '../../core/errors/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
 import { KEEPERS_PER_GROUP } from '../failover/types.ts'
 import { parseCommand } from '../language/parser.ts'
 import type {
   Command, DrainCommand, ExplainCommand, PromoteCommand, SetCommand, ShowCommand, UnsetCommand
 } from '../language/types.ts'
-import { readNamedRows } from '../mysql/named-rows.ts'
-import { placeGroup } from '../routing/home-placement.ts'
-import { NOTHING_SEEN } from '../upstreams/position.ts'
+import { readNamedRows } from '../../mysql/named-rows.ts'
+import { placeGroup } from '../../placement/group-homes.ts'
+import { NOTHING_SEEN } from '../../positions/position.ts'
 import { createAcceptance } from './acceptance.ts'
 import type { Operator } from './authentication.ts'
 import { buildChanges, changeValue, listDifferences } from './change.ts'
@@ -22,7 +22,7 @@
   run: (text: string, operator: Operator) => Promise<TableRow[]>
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { console: OperatorConsole }
 }
 
--- a/src/operators/index.ts
+++ b/src/mysql-proxy/operators/index.ts
@@ -1,9 +1,9 @@
 /** Plug-in `operators`: an HTTP endpoint for readiness, liveness, metrics, dumps and what other plug-ins add. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
-import type { MemberSettings } from '../core/config/index.ts'
-import { describeThrown, WorkswardError } from '../core/errors/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
+import type { MemberSettings } from '../../core/config/index.ts'
+import { describeThrown, WorkswardError } from '../../core/errors/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
 import { authenticateOperator, type Operator } from './authentication.ts'
 
 /** A request of an operator. */
@@ -24,7 +24,7 @@
   handle: (path: string, handler: OperatorHandler) => void
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { operators: Operators }
 }
 
--- a/src/operators/tables.ts
+++ b/src/mysql-proxy/operators/tables.ts
@@ -2,7 +2,7 @@
 import type { Configuration } from '../configuration/index.ts'
 import type { VersionedGroup } from '../configuration/types.ts'
 import type { Callers } from '../callers/index.ts'
-import { WorkswardError } from '../core/errors/index.ts'
+import { WorkswardError } from '../../core/errors/index.ts'
 import { findNearest } from '../language/mistake.ts'
 import type { Condition, ShowCommand, TableName } from '../language/types.ts'
 import type { Membership } from '../membership/index.ts'
--- a/src/routing/acknowledgement.ts
+++ b/src/mysql-proxy/routing/acknowledgement.ts
@@ -1,9 +1,9 @@
 /** When a committed write may be acknowledged. */
-import type { Kind } from '../core/config/index.ts'
-import { RequestError } from '../core/errors/index.ts'
-import type { Deadline } from '../core/time/deadline.ts'
+import type { Kind } from '../../core/config/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import type { Deadline } from '../../core/time/deadline.ts'
 import type { GroupView } from '../upstreams/group-view.ts'
-import type { LogPosition } from '../upstreams/position.ts'
+import type { LogPosition } from '../../positions/position.ts'
 import type { WriteTarget } from './primary-work.ts'
 
 /**
--- a/src/routing/home-requests.ts
+++ b/src/mysql-proxy/routing/home-requests.ts
@@ -1,8 +1,8 @@
 /** Finds the home of a group and hands it requests, here or over a peer link. */
-import { RequestError, toRequestError } from '../core/errors/index.ts'
+import { RequestError, toRequestError } from '../../core/errors/index.ts'
 import type { Membership } from '../membership/index.ts'
 import type { Member } from '../membership/types.ts'
-import type { Peers } from '../peers/index.ts'
+import type { Peers } from '../../peers/index.ts'
 import type { HomeReply, HomeRequest } from './types.ts'
 
 /** Options of {@link createHomeRequests}. */
--- a/src/routing/index.ts
+++ b/src/mysql-proxy/routing/index.ts
@@ -1,11 +1,11 @@
 /** Plug-in `routing`: brings each request to a home of its group, and is a home itself. */
-import { RequestError } from '../core/errors/index.ts'
-import type { ProxySettings } from '../core/config/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
-import { pause } from '../core/time/deadline.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import type { ProxySettings } from '../../core/config/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
+import { pause } from '../../core/time/deadline.ts'
 import type { Member } from '../membership/types.ts'
 import { createGroupHome, type GroupCounts, type GroupHome } from './group-home.ts'
-import { placeGroup } from './home-placement.ts'
+import { placeGroup } from '../../placement/group-homes.ts'
 import { createOpenTransactions } from './open-transactions.ts'
 import { createPlacementCache } from './placement-cache.ts'
 import { createHomeRequests, type HomeRequests } from './home-requests.ts'
@@ -24,7 +24,7 @@
   counts: () => GroupCounts
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { routing: Routing }
 }
 
--- a/src/routing/open-transactions.ts
+++ b/src/mysql-proxy/routing/open-transactions.ts
@@ -1,5 +1,5 @@
 /** The transactions that came over each peer link and are still open, so that they end with the link. */
-import type { PeerLink } from '../peers/types.ts'
+import type { PeerLink } from '../../peers/types.ts'
 
 /** Transactions by link. */
 interface OpenTransactions {
--- a/src/routing/placement-cache.ts
+++ b/src/mysql-proxy/routing/placement-cache.ts
@@ -2,7 +2,7 @@
  * Placements that were asked for, kept up to date when members come and go. Ranking all members for a group takes time
  * in proportion to their number; a change of members drops only the placements that it touches.
  */
-import { placeGroup, scoreOf, type Candidate } from './home-placement.ts'
+import { placeGroup, scoreOf, type Candidate } from '../../placement/group-homes.ts'
 
 /** A kept placement. */
 interface KeptPlacement<Member> {
--- a/src/routing/primary-work.ts
+++ b/src/mysql-proxy/routing/primary-work.ts
@@ -1,9 +1,9 @@
 /** Work on the primary of a group, within the term it was chosen for. */
-import type { Kind } from '../core/config/index.ts'
-import { RequestError } from '../core/errors/index.ts'
-import type { Deadline } from '../core/time/deadline.ts'
-import type { Client } from '../mysql/client.ts'
-import { MYSQL_ERROR } from '../mysql/consts.ts'
+import type { Kind } from '../../core/config/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import type { Deadline } from '../../core/time/deadline.ts'
+import type { Client } from '../../mysql/client.ts'
+import { MYSQL_ERROR } from '../../mysql/consts.ts'
 import type { ConnectionPool } from '../upstreams/connection-pool.ts'
 import type { GroupView, UpstreamView } from '../upstreams/group-view.ts'
 
--- a/src/routing/read-route.ts
+++ b/src/mysql-proxy/routing/read-route.ts
@@ -2,15 +2,15 @@
  * Reads. A read honours the floor of its session whatever age its kind accepts; it goes to a replica that is known to
  * be fit, waits a bounded time for one to become fit, and otherwise takes the primary.
  */
-import type { Group, Kind } from '../core/config/index.ts'
-import { RequestError } from '../core/errors/index.ts'
-import { Deadline } from '../core/time/deadline.ts'
-import type { Client } from '../mysql/client.ts'
-import type { Statement } from '../mysql/types.ts'
+import type { Group, Kind } from '../../core/config/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import { Deadline } from '../../core/time/deadline.ts'
+import type { Client } from '../../mysql/client.ts'
+import type { Statement } from '../../mysql/types.ts'
 import type { ConnectionPool } from '../upstreams/connection-pool.ts'
 import type { GroupView } from '../upstreams/group-view.ts'
 import { useManualCommit } from '../upstreams/manual-commit.ts'
-import { laterPosition, meetsFloor, type LogPosition, type SessionFloor } from '../upstreams/position.ts'
+import { laterPosition, meetsFloor, type LogPosition, type SessionFloor } from '../../positions/position.ts'
 import { logEnd } from '../upstreams/status.ts'
 import { findReadIndex, resolveFloor } from './session-floor.ts'
 import type { HomeReply } from './types.ts'
--- a/src/routing/request-checks.ts
+++ b/src/mysql-proxy/routing/request-checks.ts
@@ -1,6 +1,6 @@
 /** What a group's declarations say of a request: its kind, and whether its key may still be used. */
-import { kindSchema, type Group, type Kind } from '../core/config/index.ts'
-import { RequestError } from '../core/errors/index.ts'
+import { kindSchema, type Group, type Kind } from '../../core/config/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
 import { keyCreatedAt, MAXIMUM_KEY_LENGTH } from '../ledger/request-key.ts'
 
 /** The kind of a statement that declares none: a write that is not repeatable. */
--- a/src/routing/session-floor.ts
+++ b/src/mysql-proxy/routing/session-floor.ts
@@ -1,9 +1,9 @@
 /** Finds how far a session has seen, when that is not known yet. */
-import type { Deadline } from '../core/time/deadline.ts'
+import type { Deadline } from '../../core/time/deadline.ts'
 import type { GroupView } from '../upstreams/group-view.ts'
 import {
   comparePositions, laterPosition, LOG_START, type LogPosition, type SeenUpstream, type SessionFloor
-} from '../upstreams/position.ts'
+} from '../../positions/position.ts'
 import type { ObservedStatus } from '../upstreams/status-channel.ts'
 import { logEnd } from '../upstreams/status.ts'
 
--- a/src/routing/transactions.ts
+++ b/src/mysql-proxy/routing/transactions.ts
@@ -2,11 +2,11 @@
  * Transactions. Each holds one connection to the primary from its first statement to its end, so that nobody else's
  * statement can come in between. When its connection, its caller's proxy or its home goes, the upstream rolls it back.
  */
-import type { Kind } from '../core/config/index.ts'
-import { RequestError } from '../core/errors/index.ts'
-import { Deadline, pause } from '../core/time/deadline.ts'
+import type { Kind } from '../../core/config/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import { Deadline, pause } from '../../core/time/deadline.ts'
 import type { KeyedAttempt } from '../ledger/request-key.ts'
-import { EMPTY_ANSWER, type Statement } from '../mysql/types.ts'
+import { EMPTY_ANSWER, type Statement } from '../../mysql/types.ts'
 import type { ConnectionPool, PinnedConnection } from '../upstreams/connection-pool.ts'
 import type { GroupView, UpstreamView } from '../upstreams/group-view.ts'
 import { useManualCommit } from '../upstreams/manual-commit.ts'
--- a/src/routing/types.ts
+++ b/src/mysql-proxy/routing/types.ts
@@ -1,6 +1,6 @@
 /** Requests from a caller's proxy to the home of a database group, and the replies. */
-import type { Answer, Statement } from '../mysql/types.ts'
-import type { SessionFloor } from '../upstreams/position.ts'
+import type { Answer, Statement } from '../../mysql/types.ts'
+import type { SessionFloor } from '../../positions/position.ts'
 
 /** What every request carries. */
 interface RequestBase {
--- a/src/routing/write-route.ts
+++ b/src/mysql-proxy/routing/write-route.ts
@@ -3,13 +3,13 @@
  * so that it runs at most once. Its answer is held back until the change is on a majority. When an answer is lost, the
  * key is contested on the current primary, which settles whether the write ran.
  */
-import type { Kind } from '../core/config/index.ts'
-import { RequestError, toRequestError, type Verdict } from '../core/errors/index.ts'
-import { pause, type Deadline } from '../core/time/deadline.ts'
+import type { Kind } from '../../core/config/index.ts'
+import { RequestError, toRequestError, type Verdict } from '../../core/errors/index.ts'
+import { pause, type Deadline } from '../../core/time/deadline.ts'
 import { createRequestKey, fingerprintOf, parseLedgerRecord, type KeyedAttempt } from '../ledger/request-key.ts'
-import type { Client } from '../mysql/client.ts'
-import { MYSQL_ERROR } from '../mysql/consts.ts'
-import type { RowsAnswer, Statement } from '../mysql/types.ts'
+import type { Client } from '../../mysql/client.ts'
+import { MYSQL_ERROR } from '../../mysql/consts.ts'
+import type { RowsAnswer, Statement } from '../../mysql/types.ts'
 import type { ConnectionPool } from '../upstreams/connection-pool.ts'
 import type { GroupView } from '../upstreams/group-view.ts'
 import { callProcedure } from '../upstreams/procedures.ts'
--- a/src/sessions/session-token.ts
+++ b/src/mysql-proxy/sessions/session-token.ts
@@ -5,8 +5,8 @@
 import { createHmac, hkdfSync, timingSafeEqual } from 'node:crypto'
 import { Decoder, Encoder } from 'cbor-x'
 import * as z from 'zod'
-import { RequestError } from '../core/errors/index.ts'
-import { sessionFloorSchema } from '../upstreams/position.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import { sessionFloorSchema } from '../../positions/position.ts'
 
 const PREFIX = 'ws1.'
 const KEY_BYTES = 32
--- a/src/processes/keeper.ts
+++ b/src/mysql-proxy/start-keeper.ts
@@ -1,11 +1,11 @@
 /** The process `worksward-keeper`. */
-import '../configuration/index.ts'
-import '../failover/index.ts'
-import '../membership/index.ts'
+import './configuration/index.ts'
+import './failover/index.ts'
+import './membership/index.ts'
 import '../metrics/index.ts'
-import '../operators/index.ts'
+import './operators/index.ts'
 import '../peers/index.ts'
-import '../storage/index.ts'
+import './storage/index.ts'
 import type { KeeperSettings } from '../core/config/index.ts'
 import { startKernel, type Kernel, type KernelOptions } from '../core/kernel/index.ts'
 
--- a/src/storage/index.ts
+++ b/src/mysql-proxy/storage/index.ts
@@ -3,9 +3,9 @@
 import { DynamoDBClient } from '@aws-sdk/client-dynamodb'
 import { S3Client } from '@aws-sdk/client-s3'
 import { NodeHttpHandler } from '@smithy/node-http-handler'
-import type { MemberSettings } from '../core/config/index.ts'
-import { registerPlugin } from '../core/kernel/index.ts'
-import type { Dialer } from '../core/wire/dialer.ts'
+import type { MemberSettings } from '../../core/config/index.ts'
+import { registerPlugin } from '../../core/kernel/index.ts'
+import type { Dialer } from '../../core/wire/dialer.ts'
 import { createPlatformObjects } from './object-client.ts'
 import { createPlatformTable } from './table-client.ts'
 import type { PlatformObjects, PlatformTable } from './types.ts'
@@ -19,7 +19,7 @@
   objects: PlatformObjects
 }
 
-declare module '../core/kernel/index.ts' {
+declare module '../../core/kernel/index.ts' {
   interface Services { platform: Platform }
 }
 
--- a/src/storage/object-client.ts
+++ b/src/mysql-proxy/storage/object-client.ts
@@ -1,6 +1,6 @@
 /** The object store through the S3 client. */
 import { GetObjectCommand, ListObjectsV2Command, PutObjectCommand, type S3Client } from '@aws-sdk/client-s3'
-import { describeThrown, WorkswardError } from '../core/errors/index.ts'
+import { describeThrown, WorkswardError } from '../../core/errors/index.ts'
 import type { PlatformObjects } from './types.ts'
 
 /**
--- a/src/storage/table-client.ts
+++ b/src/mysql-proxy/storage/table-client.ts
@@ -2,7 +2,7 @@
 import {
   DynamoDBClient, GetItemCommand, QueryCommand, TransactWriteItemsCommand, type AttributeValue
 } from '@aws-sdk/client-dynamodb'
-import { describeThrown, WorkswardError } from '../core/errors/index.ts'
+import { describeThrown, WorkswardError } from '../../core/errors/index.ts'
 import type { ConditionalRow, PlatformTable, TableRow } from './types.ts'
 
 /** Rows that one page of a listing may have. */
--- a/src/upstreams/client-set.ts
+++ b/src/mysql-proxy/upstreams/client-set.ts
@@ -1,7 +1,7 @@
 /** The connections of one home to one upstream, within a share that shrinks when the upstream has no room. */
-import { RequestError } from '../core/errors/index.ts'
-import type { Dialer } from '../core/wire/dialer.ts'
-import { openClient, type Client, type UpstreamAccess } from '../mysql/client.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import type { Dialer } from '../../core/wire/dialer.ts'
+import { openClient, type Client, type UpstreamAccess } from '../../mysql/client.ts'
 
 /** Time to open a connection, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 1000
--- a/src/upstreams/connection-pool.ts
+++ b/src/mysql-proxy/upstreams/connection-pool.ts
@@ -3,10 +3,10 @@
  * deadlines, and a reserve that keeps reads from crowding out writes.
  */
 import PQueue from 'p-queue'
-import { RequestError } from '../core/errors/index.ts'
-import type { Deadline } from '../core/time/deadline.ts'
-import type { Dialer } from '../core/wire/dialer.ts'
-import type { Client, UpstreamAccess } from '../mysql/client.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import type { Deadline } from '../../core/time/deadline.ts'
+import type { Dialer } from '../../core/wire/dialer.ts'
+import type { Client, UpstreamAccess } from '../../mysql/client.ts'
 import { createClientSet } from './client-set.ts'
 import { createConcurrencyLimit } from './concurrency-limit.ts'
 import { enqueue } from './deadline-queue.ts'
--- a/src/upstreams/data-age.ts
+++ b/src/mysql-proxy/upstreams/data-age.ts
@@ -2,7 +2,7 @@
  * How old the data of each replica may be. Age counts from the sending of the probe that saw the primary at a position
  * which the replica has reached: everything committed before that moment is on the replica.
  */
-import { comparePositions, meetsFloor, type LogPosition } from './position.ts'
+import { comparePositions, meetsFloor, type LogPosition } from '../../positions/position.ts'
 
 /** Probes of the primary that are remembered. */
 const REMEMBERED_PROBES = 128
--- a/src/upstreams/deadline-queue.ts
+++ b/src/mysql-proxy/upstreams/deadline-queue.ts
@@ -1,7 +1,7 @@
 /** Queues tasks that are not started any more once their deadline has passed. */
 import type PQueue from 'p-queue'
-import { toRequestError } from '../core/errors/index.ts'
-import type { Deadline } from '../core/time/deadline.ts'
+import { toRequestError } from '../../core/errors/index.ts'
+import type { Deadline } from '../../core/time/deadline.ts'
 
 /** Options of {@link enqueue}. */
 interface QueuedTask<Result> {
--- a/src/upstreams/group-pools.ts
+++ b/src/mysql-proxy/upstreams/group-pools.ts
@@ -1,6 +1,6 @@
 /** The connection pools of one home to all upstreams of a group, each with its share. */
-import type { Group } from '../core/config/index.ts'
-import type { Dialer } from '../core/wire/dialer.ts'
+import type { Group } from '../../core/config/index.ts'
+import type { Dialer } from '../../core/wire/dialer.ts'
 import { createConnectionPool, type ConnectionPool } from './connection-pool.ts'
 
 /** Pools by the name of the upstream. */
--- a/src/upstreams/group-view-types.ts
+++ b/src/mysql-proxy/upstreams/group-view-types.ts
@@ -1,7 +1,7 @@
 /** Types of the view of a database group. */
-import type { Group, UpstreamDeclaration } from '../core/config/index.ts'
-import type { RequestError } from '../core/errors/index.ts'
-import type { Dialer } from '../core/wire/dialer.ts'
+import type { Group, UpstreamDeclaration } from '../../core/config/index.ts'
+import type { RequestError } from '../../core/errors/index.ts'
+import type { Dialer } from '../../core/wire/dialer.ts'
 import type { StatusChannel } from './status-channel.ts'
 
 /** Who leads a group. */
--- a/src/upstreams/group-view.ts
+++ b/src/mysql-proxy/upstreams/group-view.ts
@@ -2,11 +2,11 @@
  * One process's view of one database group: who leads, in which term, how far each log reaches, how old each replica's
  * data is, and who does not answer.
  */
-import type { Group, UpstreamDeclaration } from '../core/config/index.ts'
-import { RequestError } from '../core/errors/index.ts'
-import { pause, type Deadline } from '../core/time/deadline.ts'
+import type { Group, UpstreamDeclaration } from '../../core/config/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import { pause, type Deadline } from '../../core/time/deadline.ts'
 import { createDataAge, type DataAge } from './data-age.ts'
-import { laterPosition, LOG_START, majorityOf, meetsFloor, type LogPosition } from './position.ts'
+import { laterPosition, LOG_START, majorityOf, meetsFloor, type LogPosition } from '../../positions/position.ts'
 import type { GroupViewOptions, Leadership, UpstreamView } from './group-view-types.ts'
 import { createStatusChannel, type ObservedStatus } from './status-channel.ts'
 import { logEnd, type UpstreamStatus } from './status.ts'
--- a/src/upstreams/manual-commit.ts
+++ b/src/mysql-proxy/upstreams/manual-commit.ts
@@ -2,7 +2,7 @@
  * How statements run on a primary: with autocommit off, so that the statement opens its transaction and one call
  * commits it, enters its key and tells where the log then ends. It is two round trips for any statement, and no BEGIN.
  */
-import type { Client } from '../mysql/client.ts'
+import type { Client } from '../../mysql/client.ts'
 
 /** Connections whose autocommit has been switched off. */
 const manual = new WeakSet<Client>()
--- a/src/upstreams/procedures.ts
+++ b/src/mysql-proxy/upstreams/procedures.ts
@@ -2,7 +2,7 @@
  * The procedures an upstream offers for statuses, failover and the request ledger, by driver. Managed databases
  * offer such operations as stored procedures; a driver says what each is called.
  */
-import type { Statement, StatementValue } from '../mysql/types.ts'
+import type { Statement, StatementValue } from '../../mysql/types.ts'
 
 /** Operations that every driver must offer, and the names of the procedures in the database. */
 export const PROCEDURES = {
--- a/src/upstreams/status-channel.ts
+++ b/src/mysql-proxy/upstreams/status-channel.ts
@@ -3,11 +3,11 @@
  * the read index, the place a read or write reached, the age of a replica. Calls that wait at the same time share one
  * question. A second connection waits for the upstream's next change while somebody needs one.
  */
-import { RequestError, describeThrown } from '../core/errors/index.ts'
-import { Deadline, pause } from '../core/time/deadline.ts'
-import type { Dialer } from '../core/wire/dialer.ts'
-import { openClient, type Client, type UpstreamAccess } from '../mysql/client.ts'
-import type { RowsAnswer } from '../mysql/types.ts'
+import { RequestError, describeThrown } from '../../core/errors/index.ts'
+import { Deadline, pause } from '../../core/time/deadline.ts'
+import type { Dialer } from '../../core/wire/dialer.ts'
+import { openClient, type Client, type UpstreamAccess } from '../../mysql/client.ts'
+import type { RowsAnswer } from '../../mysql/types.ts'
 import { callProcedure, type ProcedureName } from './procedures.ts'
 import { parseStatus, type UpstreamStatus } from './status.ts'
 
--- a/src/upstreams/status.ts
+++ b/src/mysql-proxy/upstreams/status.ts
@@ -1,8 +1,8 @@
 /** What an upstream says of itself when asked. */
 import * as z from 'zod'
-import { readNamedRows } from '../mysql/named-rows.ts'
-import type { RowsAnswer } from '../mysql/types.ts'
-import type { LogPosition } from './position.ts'
+import { readNamedRows } from '../../mysql/named-rows.ts'
+import type { RowsAnswer } from '../../mysql/types.ts'
+import type { LogPosition } from '../../positions/position.ts'
 
 /** The columns of a status row. */
 const upstreamStatusSchema = z.object({
--- a/test/cli/programs.test.ts
+++ b/test/cli/programs.test.ts
@@ -5,7 +5,7 @@
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
 import { stringify } from 'yaml'
-import { EMBEDDED_OPERATOR_KEY } from '../../src/embedded/sizes.ts'
+import { EMBEDDED_OPERATOR_KEY } from '../../src/emulation/embedded/sizes.ts'
 import { GROUP, startTestDeployment, type TestDeployment } from '../fixtures/deployment.ts'
 
 const BIN = new URL('../../bin/', import.meta.url).pathname
--- a/test/load/checks.test.ts
+++ b/test/emulation/load/checks.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { CHECKERS, checkHistory } from '../../src/load/checks/index.ts'
-import type { History, HistoryEvent, Operation, Outcome } from '../../src/load/history.ts'
+import { CHECKERS, checkHistory } from '../../../src/emulation/load/checks/index.ts'
+import type { History, HistoryEvent, Operation, Outcome } from '../../../src/emulation/load/history.ts'
 
 const NOT_RUN: Outcome = { type: 'refused', verdict: 'not-run', message: '' }
 
--- a/test/load/differential.test.ts
+++ b/test/emulation/load/differential.test.ts
@@ -1,9 +1,9 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import type { NaiveOptions } from '../../bench/naive/naive-proxy.ts'
-import { runNaive } from '../../bench/naive/run-naive.ts'
-import { runExperiment, type ExperimentOptions } from '../../src/load/experiment.ts'
-import type { OperationType } from '../../src/load/operations.ts'
+import type { NaiveOptions } from '../../../bench/naive/naive-proxy.ts'
+import { runNaive } from '../../../bench/naive/run-naive.ts'
+import { runExperiment, type ExperimentOptions } from '../../../src/emulation/load/experiment.ts'
+import type { OperationType } from '../../../src/emulation/load/operations.ts'
 
 const only = (mix: Partial<Record<OperationType, number>>): Record<OperationType, number> =>
   ({ purchase: 0, 'read-own': 0, transfer: 0, total: 0, echo: 0, ...mix })
--- a/test/directory/upstream-directory.test.ts
+++ b/test/entry/directory/upstream-directory.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { createUpstreamDirectory } from '../../src/directory/upstream-directory.ts'
-import type { DirectoryEntry } from '../../src/ports/index.ts'
+import { createUpstreamDirectory } from '../../../src/entry/directory/upstream-directory.ts'
+import type { DirectoryEntry } from '../../../src/entry/ports/index.ts'
 
 const ENTRY: DirectoryEntry = {
   upstream: 'u',
--- a/test/homes/home-choice.test.ts
+++ b/test/entry/homes/home-choice.test.ts
@@ -1,9 +1,9 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { expect } from 'earl'
-import { ASK_AGAIN_MS, LOAD_HALF_LIFE_MS, OVERHEAD } from '../../src/homes/consts.ts'
-import { createHomeChoice, type HomeChoice } from '../../src/homes/home-choice.ts'
-import type { KnownHost } from '../../src/registry/index.ts'
+import { ASK_AGAIN_MS, LOAD_HALF_LIFE_MS, OVERHEAD } from '../../../src/entry/homes/consts.ts'
+import { createHomeChoice, type HomeChoice } from '../../../src/entry/homes/home-choice.ts'
+import type { KnownHost } from '../../../src/entry/registry/index.ts'
 
 const homeNamed = (name: string, process = `${name}-1`): KnownHost =>
   ({ name, process, address: '10.0.0.1', port: 1, failureDomain: 'x', version: 1 })
--- a/test/homes/home-watch.test.ts
+++ b/test/entry/homes/home-watch.test.ts
@@ -1,13 +1,13 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { expect } from 'earl'
-import { RequestError } from '../../src/core/errors/index.ts'
-import { silentLogger } from '../../src/core/logger/index.ts'
-import { pause } from '../../src/core/time/deadline.ts'
-import { HOME_ANSWER_MS, HOME_GONE_MS, HOME_SILENCE_MS, LOOK_AROUND } from '../../src/homes/consts.ts'
-import { createHomeChoice, type HomeChoice } from '../../src/homes/home-choice.ts'
-import { createHomeWatch, type HomeWatch } from '../../src/homes/home-watch.ts'
-import type { KnownHost } from '../../src/registry/index.ts'
+import { RequestError } from '../../../src/core/errors/index.ts'
+import { silentLogger } from '../../../src/core/logger/index.ts'
+import { pause } from '../../../src/core/time/deadline.ts'
+import { HOME_ANSWER_MS, HOME_GONE_MS, HOME_SILENCE_MS, LOOK_AROUND } from '../../../src/entry/homes/consts.ts'
+import { createHomeChoice, type HomeChoice } from '../../../src/entry/homes/home-choice.ts'
+import { createHomeWatch, type HomeWatch } from '../../../src/entry/homes/home-watch.ts'
+import type { KnownHost } from '../../../src/entry/registry/index.ts'
 
 const HOME: KnownHost = { name: 'h1', version: 1, address: '127.0.0.1', port: 1, failureDomain: 'x', process: 'p' }
 
--- a/test/leadership/duty.test.ts
+++ b/test/entry/leadership/duty.test.ts
@@ -1,10 +1,10 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { expect } from 'earl'
-import { silentLogger } from '../../src/core/logger/index.ts'
-import { DUTY_LEASE_MS } from '../../src/leadership/consts.ts'
-import { createDuty, type Duty } from '../../src/leadership/duty.ts'
-import type { DutyRow, Registry } from '../../src/registry/index.ts'
+import { silentLogger } from '../../../src/core/logger/index.ts'
+import { DUTY_LEASE_MS } from '../../../src/entry/leadership/consts.ts'
+import { createDuty, type Duty } from '../../../src/entry/leadership/duty.ts'
+import type { DutyRow, Registry } from '../../../src/entry/registry/index.ts'
 
 /** The row of the duty, as all hosts share it. */
 class SharedRow {
--- a/test/limits/allowance.test.ts
+++ b/test/entry/limits/allowance.test.ts
@@ -2,8 +2,8 @@
 import { expect } from 'earl'
 import * as fastCheck from 'fast-check'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
-import { createAllowance } from '../../src/limits/allowance.ts'
-import { paceOf } from '../../src/limits/pace.ts'
+import { createAllowance } from '../../../src/entry/limits/allowance.ts'
+import { paceOf } from '../../../src/entry/limits/pace.ts'
 
 const LIMIT = { perSecond: 20, burst: 40 }
 const WINDOW_MS = 5000
--- a/test/limits/credits.test.ts
+++ b/test/entry/limits/credits.test.ts
@@ -1,9 +1,9 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
-import { RequestError } from '../../src/core/errors/index.ts'
-import { REFUSED_HERE_MS } from '../../src/limits/consts.ts'
-import { createCredits, type Credits } from '../../src/limits/credits.ts'
+import { RequestError } from '../../../src/core/errors/index.ts'
+import { REFUSED_HERE_MS } from '../../../src/entry/limits/consts.ts'
+import { createCredits, type Credits } from '../../../src/entry/limits/credits.ts'
 
 describe('the operations that a host may run for an organisation', () => {
   let clock: Clock
--- a/test/pools/connection-limits.test.ts
+++ b/test/entry/pools/connection-limits.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { countHomes } from '../../src/homes/placement.ts'
-import { connectionLimits, MODEST_START_MS } from '../../src/pools/connection-limits.ts'
+import { countHomes } from '../../../src/placement/upstream-homes.ts'
+import { connectionLimits, MODEST_START_MS } from '../../../src/entry/pools/connection-limits.ts'
 
 /** Caps and numbers of hosts: those of the users, and some around them. */
 const SIZES = [[16, 7], [16, 10], [23, 9], [38, 8], [53, 71], [88, 195], [283, 72], [10, 5], [7, 3]] as const
--- a/test/pools/statement-gate.test.ts
+++ b/test/entry/pools/statement-gate.test.ts
@@ -3,9 +3,9 @@
 import { expect } from 'earl'
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
-import { RequestError } from '../../src/core/errors/index.ts'
-import { countHomes } from '../../src/homes/placement.ts'
-import { createStatementGate, expectedWaitMs } from '../../src/pools/statement-gate.ts'
+import { RequestError } from '../../../src/core/errors/index.ts'
+import { countHomes } from '../../../src/placement/upstream-homes.ts'
+import { createStatementGate, expectedWaitMs } from '../../../src/entry/pools/statement-gate.ts'
 
 /** Kinds of statements: the work of one, how often it comes, and the time for an answer in time. */
 const KINDS = [
--- a/test/pools/upstream-pool.test.ts
+++ b/test/entry/pools/upstream-pool.test.ts
@@ -1,10 +1,10 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
-import { RequestError } from '../../src/core/errors/index.ts'
-import { createUpstreamPool, type UpstreamPool } from '../../src/pools/upstream-pool.ts'
-import type { ConnectionLease } from '../../src/pools/types.ts'
-import type { UpstreamConnection, UpstreamPort } from '../../src/ports/index.ts'
+import { RequestError } from '../../../src/core/errors/index.ts'
+import { createUpstreamPool, type UpstreamPool } from '../../../src/entry/pools/upstream-pool.ts'
+import type { ConnectionLease } from '../../../src/entry/pools/types.ts'
+import type { UpstreamConnection, UpstreamPort } from '../../../src/entry/ports/index.ts'
 
 /** An upstream that only counts connections. */
 class CountingPort implements UpstreamPort {
--- a/test/entry/calm.test.ts
+++ b/test/entry/process/calm.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { setUpWorld } from '../fixtures/fleet/set-up.ts'
-import type { FakeRoute } from '../fixtures/fleet/world.ts'
+import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
+import type { FakeRoute } from '../../fixtures/fleet/world.ts'
 
 const ROUTES: FakeRoute[] = [
   { database: 'money', group: 'g', freshness: { type: 'primary' }, timeoutMs: 800 },
--- a/test/entry/explore-desired-state.test.ts
+++ b/test/entry/process/explore-desired-state.test.ts
@@ -1,8 +1,8 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
-import { desiredStatePlayer, drawn, explore, singles } from '../fixtures/fleet/explorer.ts'
-import { useFakeFleet } from '../fixtures/fleet/world.ts'
+import { desiredStatePlayer, drawn, explore, singles } from '../../fixtures/fleet/explorer.ts'
+import { useFakeFleet } from '../../fixtures/fleet/world.ts'
 
 /** Messages from the first change on that are disturbed, one at a time in every way. */
 const POINTS = 30
--- a/test/entry/explore-succession.test.ts
+++ b/test/entry/process/explore-succession.test.ts
@@ -1,8 +1,8 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
-import { drawn, explore, pairsWithLost, singles, successionPlayer } from '../fixtures/fleet/explorer.ts'
-import { useFakeFleet } from '../fixtures/fleet/world.ts'
+import { drawn, explore, pairsWithLost, singles, successionPlayer } from '../../fixtures/fleet/explorer.ts'
+import { useFakeFleet } from '../../fixtures/fleet/world.ts'
 
 /** Messages from the cut on that are disturbed, one at a time in every way: all of a succession and some after it. */
 const POINTS = 46
--- a/test/entry/failover-time.test.ts
+++ b/test/entry/process/failover-time.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { EXTENDED_RIGHT_MS, RIGHT_MARGIN_MS } from '../../src/registry/consts.ts'
-import { setUpWorld } from '../fixtures/fleet/set-up.ts'
+import { EXTENDED_RIGHT_MS, RIGHT_MARGIN_MS } from '../../../src/entry/registry/consts.ts'
+import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
 describe('the time of a failover', () => {
   const suite = setUpWorld(['h1', 'h2', 'h3'])
--- a/test/entry/homes.test.ts
+++ b/test/entry/process/homes.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { homesOf } from '../../src/homes/placement.ts'
-import { MONEY, setUpWorld } from '../fixtures/fleet/set-up.ts'
-import { FAKE_CAP, FAKE_DOMAIN, FAKE_SLOTS, type FakeCaller, type FakeRoute } from '../fixtures/fleet/world.ts'
+import { homesOf } from '../../../src/placement/upstream-homes.ts'
+import { MONEY, setUpWorld } from '../../fixtures/fleet/set-up.ts'
+import { FAKE_CAP, FAKE_DOMAIN, FAKE_SLOTS, type FakeCaller, type FakeRoute } from '../../fixtures/fleet/world.ts'
 
 const HOSTS = ['h1', 'h2', 'h3', 'h4', 'h5', 'h6']
 /** Time that a busy home takes for each message, in milliseconds: it is suspected, and its link is kept. */
--- a/test/entry/leaving-upstreams.test.ts
+++ b/test/entry/process/leaving-upstreams.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { checkLeaving, type Leaving } from '../fixtures/fleet/history.ts'
-import { setUpWorld } from '../fixtures/fleet/set-up.ts'
-import type { FakeRoute } from '../fixtures/fleet/world.ts'
+import { checkLeaving, type Leaving } from '../../fixtures/fleet/history.ts'
+import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
+import type { FakeRoute } from '../../fixtures/fleet/world.ts'
 
 const ROUTES: FakeRoute[] = [
   { database: 'money', group: 'g', freshness: { type: 'primary' }, timeoutMs: 800 },
--- a/test/entry/organisations.test.ts
+++ b/test/entry/process/organisations.test.ts
@@ -1,9 +1,9 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { REFUSED_HERE_MS } from '../../src/limits/consts.ts'
-import { setUpWorld } from '../fixtures/fleet/set-up.ts'
-import type { FakeOrganisation, FakeRoute } from '../fixtures/fleet/world.ts'
-import { seedRandom } from '../fixtures/seed-random.ts'
+import { REFUSED_HERE_MS } from '../../../src/entry/limits/consts.ts'
+import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
+import type { FakeOrganisation, FakeRoute } from '../../fixtures/fleet/world.ts'
+import { seedRandom } from '../../fixtures/seed-random.ts'
 
 const ROUTES: FakeRoute[] = [
   { database: 'money', group: 'g', freshness: { type: 'primary' }, timeoutMs: 800 },
--- a/test/entry/outlook.test.ts
+++ b/test/entry/process/outlook.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { MONEY, setUpWorld } from '../fixtures/fleet/set-up.ts'
+import { MONEY, setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
 /** What became of a write, in milliseconds since the play began. */
 interface WriteOutcome {
--- a/test/entry/overload.test.ts
+++ b/test/entry/process/overload.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { setUpWorld, MONEY } from '../fixtures/fleet/set-up.ts'
+import { setUpWorld, MONEY } from '../../fixtures/fleet/set-up.ts'
 
 /** Time of a route within which its answers are in time, in milliseconds; see the routes of the world. */
 const TARGET_MS = 200
--- a/test/entry/pairs.test.ts
+++ b/test/entry/process/pairs.test.ts
@@ -1,9 +1,9 @@
 import { beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
-import { checkAll } from '../fixtures/fleet/history.ts'
-import { ALL_FAULT_NAMES, playTrouble, type TroubleOptions } from '../fixtures/fleet/trouble.ts'
-import { useFakeFleet } from '../fixtures/fleet/world.ts'
+import { checkAll } from '../../fixtures/fleet/history.ts'
+import { ALL_FAULT_NAMES, playTrouble, type TroubleOptions } from '../../fixtures/fleet/trouble.ts'
+import { useFakeFleet } from '../../fixtures/fleet/world.ts'
 
 /** Every ordered pair of faults, the second 1.5 s after the first; most faults last longer than that. */
 const PAIRS = ALL_FAULT_NAMES.flatMap((first) => ALL_FAULT_NAMES.map((second) => [first, second]))
--- a/test/entry/power-loss.test.ts
+++ b/test/entry/process/power-loss.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import type { StatementAnswer } from '../../src/ports/index.ts'
-import { MONEY, setUpWorld } from '../fixtures/fleet/set-up.ts'
-import type { FakeRoute } from '../fixtures/fleet/world.ts'
+import type { StatementAnswer } from '../../../src/entry/ports/index.ts'
+import { MONEY, setUpWorld } from '../../fixtures/fleet/set-up.ts'
+import type { FakeRoute } from '../../fixtures/fleet/world.ts'
 
 const HOSTS = ['h1', 'h2', 'h3', 'h4', 'h5', 'h6', 'h7', 'h8', 'h9', 'h10']
 const VIEW: FakeRoute = { database: 'view', group: 'g', freshness: { type: 'bounded', maximumAgeMs: 1500 }, timeoutMs: 800 }
--- a/test/entry/proof-exchange.test.ts
+++ b/test/entry/process/proof-exchange.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import type { StatementAnswer } from '../../src/ports/index.ts'
-import { MONEY, setUpWorld } from '../fixtures/fleet/set-up.ts'
-import type { FakeRoute } from '../fixtures/fleet/world.ts'
+import type { StatementAnswer } from '../../../src/entry/ports/index.ts'
+import { MONEY, setUpWorld } from '../../fixtures/fleet/set-up.ts'
+import type { FakeRoute } from '../../fixtures/fleet/world.ts'
 
 const VIEW: FakeRoute = { database: 'view', group: 'g', freshness: { type: 'bounded', maximumAgeMs: 1500 }, timeoutMs: 800 }
 const OWN: FakeRoute = { database: 'own', group: 'g', freshness: { type: 'session', maximumAgeMs: 2500 }, timeoutMs: 800 }
--- a/test/entry/reach.test.ts
+++ b/test/entry/process/reach.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { countReach, isLostToMost, type ReachAnswer } from '../../src/leadership/reach.ts'
+import { countReach, isLostToMost, type ReachAnswer } from '../../../src/entry/leadership/reach.ts'
 
 const never = new Promise<ReachAnswer>(() => {})
 const ask = async (answers: ReachAnswer[], open: Array<Promise<ReachAnswer>> = []): Promise<boolean> =>
--- a/test/entry/reborn-upstreams.test.ts
+++ b/test/entry/process/reborn-upstreams.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { setUpWorld } from '../fixtures/fleet/set-up.ts'
-import { MONEY } from '../fixtures/fleet/set-up.ts'
-import type { FakeRoute } from '../fixtures/fleet/world.ts'
+import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
+import { MONEY } from '../../fixtures/fleet/set-up.ts'
+import type { FakeRoute } from '../../fixtures/fleet/world.ts'
 
 const VIEW: FakeRoute = {
   database: 'view', group: 'g', freshness: { type: 'bounded', maximumAgeMs: 1500 }, timeoutMs: 800
--- a/test/entry/routes.test.ts
+++ b/test/entry/process/routes.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { checkRoutes, type RoutedRequest, type RoutesInForce } from '../fixtures/fleet/history.ts'
-import { MONEY, setUpWorld } from '../fixtures/fleet/set-up.ts'
+import { checkRoutes, type RoutedRequest, type RoutesInForce } from '../../fixtures/fleet/history.ts'
+import { MONEY, setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
 /** Time after which all hosts handle requests by a desired state, in milliseconds; the users' bound. */
 const APPLY_MS = 3000
--- a/test/entry/split-hosts.test.ts
+++ b/test/entry/process/split-hosts.test.ts
@@ -1,8 +1,8 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { setUpWorld } from '../fixtures/fleet/set-up.ts'
-import type { FakeRoute } from '../fixtures/fleet/world.ts'
-import { seedRandom } from '../fixtures/seed-random.ts'
+import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
+import type { FakeRoute } from '../../fixtures/fleet/world.ts'
+import { seedRandom } from '../../fixtures/seed-random.ts'
 
 const HOSTS = Array.from({ length: 24 }, (_, index) => `h${index + 1}`)
 /** Two of five hosts are beyond the cut. */
--- a/test/entry/stopping.test.ts
+++ b/test/entry/process/stopping.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { setUpWorld } from '../fixtures/fleet/set-up.ts'
+import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
 describe('a planned stop of an entry process', () => {
   const suite = setUpWorld(['h1'])
--- a/test/entry/succession.test.ts
+++ b/test/entry/process/succession.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { findLeader, type Candidate } from '../../src/leadership/promote.ts'
-import { setUpWorld } from '../fixtures/fleet/set-up.ts'
+import { findLeader, type Candidate } from '../../../src/entry/leadership/promote.ts'
+import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
 function candidate (upstream: string, role: 'primary' | 'replica', term: number): Candidate {
   const endpoint = { address: '127.0.0.1', port: 1 }
--- a/test/entry/trouble.test.ts
+++ b/test/entry/process/trouble.test.ts
@@ -1,10 +1,10 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
-import type { StatementAnswer } from '../../src/ports/index.ts'
-import { checkAll, checks, type Evidence, type Operation } from '../fixtures/fleet/history.ts'
-import { FAULT_NAMES, playTrouble } from '../fixtures/fleet/trouble.ts'
-import { useFakeFleet } from '../fixtures/fleet/world.ts'
+import type { StatementAnswer } from '../../../src/entry/ports/index.ts'
+import { checkAll, checks, type Evidence, type Operation } from '../../fixtures/fleet/history.ts'
+import { FAULT_NAMES, playTrouble } from '../../fixtures/fleet/trouble.ts'
+import { useFakeFleet } from '../../fixtures/fleet/world.ts'
 
 /** Seeds that every run of the tests plays. */
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12]
--- a/test/registry/learning.test.ts
+++ b/test/entry/registry/learning.test.ts
@@ -1,13 +1,13 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { expect } from 'earl'
-import { EXTEND_AFTER_MS } from '../../src/leadership/consts.ts'
-import { keepLearning, POLL_MS } from '../../src/registry/learning.ts'
-import { followersOf, readersOf } from '../../src/registry/readers.ts'
-import { UNKNOWN_REGISTRY, type KnownHost, type RegistrySnapshot } from '../../src/registry/snapshot.ts'
-import { MONEY } from '../fixtures/fleet/set-up.ts'
-import { useFakeFleet, World } from '../fixtures/fleet/world.ts'
-import { seedRandom } from '../fixtures/seed-random.ts'
+import { EXTEND_AFTER_MS } from '../../../src/entry/leadership/consts.ts'
+import { keepLearning, POLL_MS } from '../../../src/entry/registry/learning.ts'
+import { followersOf, readersOf } from '../../../src/entry/registry/readers.ts'
+import { UNKNOWN_REGISTRY, type KnownHost, type RegistrySnapshot } from '../../../src/entry/registry/snapshot.ts'
+import { MONEY } from '../../fixtures/fleet/set-up.ts'
+import { useFakeFleet, World } from '../../fixtures/fleet/world.ts'
+import { seedRandom } from '../../fixtures/seed-random.ts'
 
 const NAMES = Array.from({ length: 16 }, (_, index) => `h${index + 1}`)
 const HOSTS: KnownHost[] = NAMES.map((name) => ({
--- a/test/registry/readers.test.ts
+++ b/test/entry/registry/readers.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { HOSTS_PER_READER, orderFor, readersOf } from '../../src/registry/readers.ts'
-import { createSnapshot, type KnownHost } from '../../src/registry/snapshot.ts'
-import { setUpWorld } from '../fixtures/fleet/set-up.ts'
+import { HOSTS_PER_READER, orderFor, readersOf } from '../../../src/entry/registry/readers.ts'
+import { createSnapshot, type KnownHost } from '../../../src/entry/registry/snapshot.ts'
+import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
 const NAMES = ['h1', 'h2', 'h3', 'h4', 'h5', 'h6']
 const hostsNamed = (names: string[]): KnownHost[] => names.map((name) => ({
--- a/test/registry/relay.test.ts
+++ b/test/entry/registry/relay.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { mergeRelayed } from '../../src/registry/relay.ts'
-import { createSnapshot } from '../../src/registry/snapshot.ts'
-import type { StoreRow } from '../../src/ports/index.ts'
+import { mergeRelayed } from '../../../src/entry/registry/relay.ts'
+import { createSnapshot } from '../../../src/entry/registry/snapshot.ts'
+import type { StoreRow } from '../../../src/entry/ports/index.ts'
 
 const hostRow = (name: string, version: number): StoreRow => ({
   key: `host/${name}`,
--- a/test/registry/silent-feeds.test.ts
+++ b/test/entry/registry/silent-feeds.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { MONEY, setUpWorld } from '../fixtures/fleet/set-up.ts'
+import { MONEY, setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
 /** Time within which a desired state must be in force, in milliseconds; the users' bound. */
 const IN_FORCE_MS = 3000
--- a/test/registry/table-copy.test.ts
+++ b/test/entry/registry/table-copy.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { createTableCopy } from '../../src/registry/table-copy.ts'
+import { createTableCopy } from '../../../src/entry/registry/table-copy.ts'
 
 const row = (key: string, version: number) => ({ key, value: `${key}${version}`, version })
 
--- a/test/registry/table-relay.test.ts
+++ b/test/entry/registry/table-relay.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { followersOf, LEAST_FOLLOWERS, orderFor } from '../../src/registry/readers.ts'
-import type { KnownHost } from '../../src/registry/snapshot.ts'
-import { MONEY, setUpWorld } from '../fixtures/fleet/set-up.ts'
+import { followersOf, LEAST_FOLLOWERS, orderFor } from '../../../src/entry/registry/readers.ts'
+import type { KnownHost } from '../../../src/entry/registry/snapshot.ts'
+import { MONEY, setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
 const NAMES = Array.from({ length: 16 }, (_, index) => `h${index + 1}`)
 const HOSTS: KnownHost[] = NAMES.map((name) => ({
--- a/test/frozen/agreements.test.ts
+++ b/test/frozen/agreements.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
-import { homesOf, orderByScore } from '../../src/homes/placement.ts'
-import { followersOf, orderFor, readersOf } from '../../src/registry/readers.ts'
-import type { KnownHost } from '../../src/registry/snapshot.ts'
+import { homesOf, orderByScore } from '../../src/placement/upstream-homes.ts'
+import { followersOf, orderFor, readersOf } from '../../src/entry/registry/readers.ts'
+import type { KnownHost } from '../../src/entry/registry/snapshot.ts'
 import { expectGolden } from './golden.ts'
 
 const DOMAINS = ['x', 'y', 'z']
--- a/test/frozen/exchange.test.ts
+++ b/test/frozen/exchange.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
-import type { StoreTransaction } from '../../src/ports/index.ts'
+import type { StoreTransaction } from '../../src/entry/ports/index.ts'
 import { MONEY, setUpWorld } from '../fixtures/fleet/set-up.ts'
 import type { FakeOrganisation, FakeRoute, World } from '../fixtures/fleet/world.ts'
 import { seedRandom } from '../fixtures/seed-random.ts'
--- a/test/frozen/mysql-deployment.test.ts
+++ b/test/frozen/mysql-deployment.test.ts
@@ -2,9 +2,9 @@
 import { randomUUID } from 'node:crypto'
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { EMBEDDED_OPERATOR_KEY } from '../../src/embedded/sizes.ts'
-import { TABLE_NAMES } from '../../src/language/types.ts'
-import type { DeployedHost } from '../../src/embedded/deployment.ts'
+import { EMBEDDED_OPERATOR_KEY } from '../../src/emulation/embedded/sizes.ts'
+import { TABLE_NAMES } from '../../src/mysql-proxy/language/types.ts'
+import type { DeployedHost } from '../../src/emulation/embedded/deployment.ts'
 import { GROUP, purchase, readRequests, startTestDeployment, until, type TestDeployment } from '../fixtures/deployment.ts'
 import { expectGolden } from './mysql-golden.ts'
 
--- a/test/frozen/mysql-placement.test.ts
+++ b/test/frozen/mysql-placement.test.ts
@@ -1,9 +1,9 @@
 /** Which hosts look after which groups and upstreams: processes of two versions must place them alike. */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { countHomes, homesOf, orderByScore, scoreOf as scoreOfUpstream } from '../../src/homes/placement.ts'
-import { placeGroup, scoreOf } from '../../src/routing/home-placement.ts'
-import { createPlacementCache } from '../../src/routing/placement-cache.ts'
+import { countHomes, homesOf, orderByScore, scoreOf as scoreOfUpstream } from '../../src/placement/upstream-homes.ts'
+import { placeGroup, scoreOf } from '../../src/placement/group-homes.ts'
+import { createPlacementCache } from '../../src/mysql-proxy/routing/placement-cache.ts'
 import { expectGolden } from './mysql-golden.ts'
 
 const FILE = 'placement'
--- a/test/frozen/mysql-session-forms.test.ts
+++ b/test/frozen/mysql-session-forms.test.ts
@@ -1,11 +1,11 @@
 /** Session tokens, request keys, positions and hints: what callers carry and what ledgers hold. */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { readHint, readHintValues } from '../../src/callers/hint.ts'
-import { classifyStatement, readSetting } from '../../src/callers/statement-class.ts'
-import { createRequestKey, fingerprintOf, keyCreatedAt, MAXIMUM_KEY_LENGTH } from '../../src/ledger/request-key.ts'
-import { createSessionTokens, isSessionToken, type SessionTokenContent } from '../../src/sessions/session-token.ts'
-import { formatPosition, joinFloors, NOTHING_SEEN, sessionFloorSchema } from '../../src/upstreams/position.ts'
+import { readHint, readHintValues } from '../../src/mysql-proxy/callers/hint.ts'
+import { classifyStatement, readSetting } from '../../src/mysql-proxy/callers/statement-class.ts'
+import { createRequestKey, fingerprintOf, keyCreatedAt, MAXIMUM_KEY_LENGTH } from '../../src/mysql-proxy/ledger/request-key.ts'
+import { createSessionTokens, isSessionToken, type SessionTokenContent } from '../../src/mysql-proxy/sessions/session-token.ts'
+import { formatPosition, joinFloors, NOTHING_SEEN, sessionFloorSchema } from '../../src/positions/position.ts'
 import { expectGolden, outcomeOf, readGolden } from './mysql-golden.ts'
 
 const FILE = 'session-forms'
--- a/test/frozen/platform-lines.test.ts
+++ b/test/frozen/platform-lines.test.ts
@@ -9,7 +9,7 @@
 } from '../../platform/words.ts'
 import { silentLogger } from '../../src/core/logger/index.ts'
 import { createDialer } from '../../src/core/wire/dialer.ts'
-import type { CallerRequest, FailureKind, StatementAnswer, UpstreamCommand } from '../../src/ports/index.ts'
+import type { CallerRequest, FailureKind, StatementAnswer, UpstreamCommand } from '../../src/entry/ports/index.ts'
 import { expectGolden } from './golden.ts'
 
 const ADDRESS = '127.0.0.1'
--- a/test/frozen/process.test.ts
+++ b/test/frozen/process.test.ts
@@ -7,7 +7,7 @@
 import type { Kernel } from '../../src/core/kernel/index.ts'
 import { silentLogger } from '../../src/core/logger/index.ts'
 import { createDialer } from '../../src/core/wire/dialer.ts'
-import { startEntry } from '../../src/processes/entry.ts'
+import { startEntry } from '../../src/entry/start-entry.ts'
 import { expectGolden } from './golden.ts'
 
 const ADDRESS = '127.0.0.1'
--- a/test/frozen/rows.test.ts
+++ b/test/frozen/rows.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { createSnapshot } from '../../src/registry/snapshot.ts'
-import { REGISTRY_TABLE, registryKeys, RETIRED_PROCESS } from '../../src/registry/types.ts'
+import { createSnapshot } from '../../src/entry/registry/snapshot.ts'
+import { REGISTRY_TABLE, registryKeys, RETIRED_PROCESS } from '../../src/entry/registry/types.ts'
 import { setUpWorld } from '../fixtures/fleet/set-up.ts'
 
 const GROUP = '{"epoch":4,"primary":"g-b","primaryBornAt":1700000000000,"state":"closed","term":3,"writtenBy":"h1",' +
--- a/test/callers/hint.test.ts
+++ b/test/mysql-proxy/callers/hint.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import fc from 'fast-check'
-import { readHint } from '../../src/callers/hint.ts'
-import { classifyStatement, readSetting } from '../../src/callers/statement-class.ts'
+import { readHint } from '../../../src/mysql-proxy/callers/hint.ts'
+import { classifyStatement, readSetting } from '../../../src/mysql-proxy/callers/statement-class.ts'
 
 describe('readHint', () => {
   it('reads the comment at the start or the end of a statement', () => {
--- a/test/configuration/configuration-store.test.ts
+++ b/test/mysql-proxy/configuration/configuration-store.test.ts
@@ -1,11 +1,11 @@
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
 import fc from 'fast-check'
-import { groupSchema, proxySettingsSchema } from '../../src/core/config/index.ts'
-import { createDialer } from '../../src/core/wire/dialer.ts'
-import { createConfigurationStore, type ConfigurationStore } from '../../src/configuration/configuration-store.ts'
-import { connectPlatform, type PlatformConnection } from '../../src/storage/index.ts'
-import { servePlatform, type PlatformServer } from '../../src/standin/platform-server.ts'
+import { groupSchema, proxySettingsSchema } from '../../../src/core/config/index.ts'
+import { createDialer } from '../../../src/core/wire/dialer.ts'
+import { createConfigurationStore, type ConfigurationStore } from '../../../src/mysql-proxy/configuration/configuration-store.ts'
+import { connectPlatform, type PlatformConnection } from '../../../src/mysql-proxy/storage/index.ts'
+import { servePlatform, type PlatformServer } from '../../../src/emulation/standin/platform-server.ts'
 
 const GROUP = groupSchema.parse({
   upstreams: [{ name: 'u', address: '127.0.0.1', port: 1, failureDomain: 'd' }], account: { user: 'w', password: 'p' }
--- a/test/failover/election.test.ts
+++ b/test/mysql-proxy/failover/election.test.ts
@@ -1,11 +1,11 @@
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { EMBEDDED_ACCOUNT } from '../../src/embedded/sizes.ts'
-import { createDialer } from '../../src/core/wire/dialer.ts'
-import { Deadline } from '../../src/core/time/deadline.ts'
-import { electPrimary } from '../../src/failover/election.ts'
-import { GroupView } from '../../src/upstreams/group-view.ts'
-import { GROUP, startTestDeployment, until, type TestDeployment } from '../fixtures/deployment.ts'
+import { EMBEDDED_ACCOUNT } from '../../../src/emulation/embedded/sizes.ts'
+import { createDialer } from '../../../src/core/wire/dialer.ts'
+import { Deadline } from '../../../src/core/time/deadline.ts'
+import { electPrimary } from '../../../src/mysql-proxy/failover/election.ts'
+import { GroupView } from '../../../src/mysql-proxy/upstreams/group-view.ts'
+import { GROUP, startTestDeployment, until, type TestDeployment } from '../../fixtures/deployment.ts'
 
 describe('electPrimary', () => {
   let deployment: TestDeployment
--- a/test/language/parser.test.ts
+++ b/test/mysql-proxy/language/parser.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { completeCommand } from '../../src/cli/worksward/prompt.ts'
-import { parseCommand } from '../../src/language/parser.ts'
+import { completeCommand } from '../../../src/cli/worksward/prompt.ts'
+import { parseCommand } from '../../../src/mysql-proxy/language/parser.ts'
 
 describe('parseCommand', () => {
   it('reads a show command with conditions, order and limit', () => {
--- a/test/membership/member-list.test.ts
+++ b/test/mysql-proxy/membership/member-list.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import fc from 'fast-check'
-import { createMemberList } from '../../src/membership/member-list.ts'
-import { MEMBER_STATES, type Member } from '../../src/membership/types.ts'
+import { createMemberList } from '../../../src/mysql-proxy/membership/member-list.ts'
+import { MEMBER_STATES, type Member } from '../../../src/mysql-proxy/membership/types.ts'
 
 const opinion = fc.record({
   host: fc.constantFrom('a', 'b', 'c'),
--- a/test/membership/membership.test.ts
+++ b/test/mysql-proxy/membership/membership.test.ts
@@ -1,6 +1,6 @@
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { GROUP, purchase, readRequests, startTestDeployment, until, type TestDeployment } from '../fixtures/deployment.ts'
+import { GROUP, purchase, readRequests, startTestDeployment, until, type TestDeployment } from '../../fixtures/deployment.ts'
 
 describe('membership', () => {
   let deployment: TestDeployment
--- a/test/operators/console.test.ts
+++ b/test/mysql-proxy/operators/console.test.ts
@@ -1,9 +1,9 @@
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
 import { randomUUID } from 'node:crypto'
-import { callConsole, type ShownRow } from '../../src/cli/worksward/console-client.ts'
-import { EMBEDDED_OPERATOR_KEY } from '../../src/embedded/sizes.ts'
-import { GROUP, purchase, readRequests, startTestDeployment, until, type TestDeployment } from '../fixtures/deployment.ts'
+import { callConsole, type ShownRow } from '../../../src/cli/worksward/console-client.ts'
+import { EMBEDDED_OPERATOR_KEY } from '../../../src/emulation/embedded/sizes.ts'
+import { GROUP, purchase, readRequests, startTestDeployment, until, type TestDeployment } from '../../fixtures/deployment.ts'
 
 describe('the operators\' console', () => {
   let deployment: TestDeployment
--- a/test/operators/duties.test.ts
+++ b/test/mysql-proxy/operators/duties.test.ts
@@ -1,8 +1,8 @@
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { callConsole } from '../../src/cli/worksward/console-client.ts'
-import { EMBEDDED_OPERATOR_KEY } from '../../src/embedded/sizes.ts'
-import { GROUP, purchase, readRequests, startTestDeployment, until, type TestDeployment } from '../fixtures/deployment.ts'
+import { callConsole } from '../../../src/cli/worksward/console-client.ts'
+import { EMBEDDED_OPERATOR_KEY } from '../../../src/emulation/embedded/sizes.ts'
+import { GROUP, purchase, readRequests, startTestDeployment, until, type TestDeployment } from '../../fixtures/deployment.ts'
 
 describe('handing over one duty at a time', () => {
   let deployment: TestDeployment
--- a/test/upstreams/decisions.test.ts
+++ b/test/mysql-proxy/upstreams/decisions.test.ts
@@ -1,11 +1,11 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
-import { createSuspicion } from '../../src/failover/suspicion.ts'
-import { createRetryBudget } from '../../src/routing/retry-budget.ts'
-import { createConcurrencyLimit } from '../../src/upstreams/concurrency-limit.ts'
-import { createDataAge } from '../../src/upstreams/data-age.ts'
-import { Deadline } from '../../src/core/time/deadline.ts'
+import { createSuspicion } from '../../../src/mysql-proxy/failover/suspicion.ts'
+import { createRetryBudget } from '../../../src/retries/retry-budget.ts'
+import { createConcurrencyLimit } from '../../../src/mysql-proxy/upstreams/concurrency-limit.ts'
+import { createDataAge } from '../../../src/mysql-proxy/upstreams/data-age.ts'
+import { Deadline } from '../../../src/core/time/deadline.ts'
 
 describe('decisions over time', () => {
   let clock: Clock
--- a/test/routing/placement.test.ts
+++ b/test/placement/group-homes.test.ts
@@ -1,8 +1,8 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import fc from 'fast-check'
-import { placeGroup, type Candidate } from '../../src/routing/home-placement.ts'
-import { createPlacementCache } from '../../src/routing/placement-cache.ts'
+import { placeGroup, type Candidate } from '../../src/placement/group-homes.ts'
+import { createPlacementCache } from '../../src/mysql-proxy/routing/placement-cache.ts'
 
 const createCandidate = (index: number): Candidate => ({ host: `host-${index}`, failureDomain: `domain-${index % 4}` })
 const GROUPS = Array.from({ length: 40 }, (_value, index) => `group-${index}`)
--- a/test/homes/placement.test.ts
+++ b/test/placement/upstream-homes.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { countHomes, homesOf, type PlaceableHost } from '../../src/homes/placement.ts'
+import { countHomes, homesOf, type PlaceableHost } from '../../src/placement/upstream-homes.ts'
 
 const DOMAINS = ['a', 'b', 'c']
 /** Statements that an upstream runs at a time. */
--- a/test/platform/caller-port.test.ts
+++ b/test/platform/caller-port.test.ts
@@ -6,7 +6,7 @@
 import { MAXIMUM_MESSAGE_BYTES } from '../../platform/line-wire.ts'
 import { digestOfKey } from '../../platform/secrets.ts'
 import { silentLogger } from '../../src/core/logger/index.ts'
-import type { CallerHandler, CallerLink, CallerRequest, StatementAnswer } from '../../src/ports/index.ts'
+import type { CallerHandler, CallerLink, CallerRequest, StatementAnswer } from '../../src/entry/ports/index.ts'
 
 const closers: Array<() => Promise<void> | void> = []
 
--- a/test/platform/upstream-port.test.ts
+++ b/test/platform/upstream-port.test.ts
@@ -5,7 +5,7 @@
 import { MAXIMUM_MESSAGE_BYTES } from '../../platform/line-wire.ts'
 import { createUpstreamPort } from '../../platform/upstream-port.ts'
 import { RequestError } from '../../src/core/errors/index.ts'
-import type { UpstreamConnection, UpstreamPort } from '../../src/ports/index.ts'
+import type { UpstreamConnection, UpstreamPort } from '../../src/entry/ports/index.ts'
 
 /** Time that an upstream of these tests has to take a connection, in milliseconds; it is on this machine. */
 const OPEN_MS = 400
--- a/test/system/at-most-once.test.ts
+++ b/test/system/at-most-once.test.ts
@@ -1,6 +1,6 @@
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { createRequestKey } from '../../src/ledger/request-key.ts'
+import { createRequestKey } from '../../src/mysql-proxy/ledger/request-key.ts'
 import { GROUP, purchase, readRequests, startTestDeployment, type TestDeployment } from '../fixtures/deployment.ts'
 
 describe('at most once', () => {
--- a/test/system/processes.test.ts
+++ b/test/system/processes.test.ts
@@ -1,7 +1,7 @@
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { createCaller, type Caller } from '../../src/load/caller.ts'
-import { ASSOCIATION_SIZES, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../../src/embedded/sizes.ts'
+import { createCaller, type Caller } from '../../src/emulation/load/caller.ts'
+import { ASSOCIATION_SIZES, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../../src/emulation/embedded/sizes.ts'
 import { startProcesses, type ProcessDeployment } from '../fixtures/process-deployment.ts'
 import { GROUP, until } from '../fixtures/deployment.ts'
 
--- a/test/system/two-at-once.test.ts
+++ b/test/system/two-at-once.test.ts
@@ -1,8 +1,8 @@
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
 import fc from 'fast-check'
-import { runExperiment } from '../../src/load/experiment.ts'
-import { FAULT_NAMES } from '../../src/load/faults.ts'
+import { runExperiment } from '../../src/emulation/load/experiment.ts'
+import { FAULT_NAMES } from '../../src/emulation/load/faults.ts'
 import { GROUP, purchase, readRequests, startTestDeployment, until, type TestDeployment } from '../fixtures/deployment.ts'
 
 describe('two failures at once', () => {
