--- a/src/entry/leadership/closing.ts
+++ b/src/entry/leadership/close-epoch.ts
@@ -6,10 +6,10 @@
 import { isRefusal } from '../../peers/refusal.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
 import { CLOSE_TRY_MS, SILENT_PART } from './consts.ts'
-import { EXTENDED_RIGHT_MS, RIGHT_MARGIN_MS, RIGHT_MS } from '../registry/consts.ts'
+import { EXTENDED_LEASE_MS, LEASE_MARGIN_MS, PRIMARY_LEASE_MS } from '../registry/consts.ts'
 
 /** How it is known that a host does not work at the primary any more. */
-type ClosedBecause = 'acknowledged' | 'told-by-row' | 'not-running' | 'restarted' | 'unregistered' | 'right-lapsed' | 'retired'
+type ClosedBecause = 'acknowledged' | 'told-by-row' | 'not-running' | 'restarted' | 'unregistered' | 'lease-expired' | 'retired'
 
 /** Options of {@link awaitClosed}. */
 interface ClosingOptions {
@@ -50,7 +50,7 @@
   await Promise.all(others.map(async (host) => {
     const because = await awaitHost(host, options, progress)
     progress.silent--
-    progress.lastStoppedAt = because === 'right-lapsed' ? progress.lastStoppedAt : performance.now()
+    progress.lastStoppedAt = because === 'lease-expired' ? progress.lastStoppedAt : performance.now()
     logger.log('info', 'leadership.host-closed', {
       group, epoch, peer: host.name, because, waitedMs: Math.round(performance.now() - closedAt)
     })
@@ -63,8 +63,8 @@
  */
 function lapsesAt ({ hosts, silent, lastStoppedAt }: ClosingProgress, closedAt: number): number {
   return silent <= hosts * SILENT_PART
-    ? lastStoppedAt + RIGHT_MS + RIGHT_MARGIN_MS
-    : closedAt + EXTENDED_RIGHT_MS + RIGHT_MARGIN_MS
+    ? lastStoppedAt + PRIMARY_LEASE_MS + LEASE_MARGIN_MS
+    : closedAt + EXTENDED_LEASE_MS + LEASE_MARGIN_MS
 }
 
 async function awaitHost (host: KnownHost, options: ClosingOptions, progress: ClosingProgress): Promise<ClosedBecause> {
@@ -85,7 +85,7 @@
       return 'restarted'
     }
     if (performance.now() >= lapsesAt(progress, closedAt)) {
-      return 'right-lapsed'
+      return 'lease-expired'
     }
     try {
       await peers.ask(host, 'close-group', { group, epoch }, CLOSE_TRY_MS)
--- a/src/entry/leadership/consts.ts
+++ b/src/entry/leadership/consts.ts
@@ -5,13 +5,13 @@
 /** Time that statements in progress have to end when a primary is closed. */
 export const CLOSING_MS = 150
 /** Length of the lease on the duty of promoting; a promotion takes less than half of it. */
-export const DUTY_LEASE_MS = 5000
+export const PROMOTION_LEASE_MS = 5000
 /** Time between two renewals while a promoter waits for hosts to stop. */
-export const DUTY_RENEW_MS = 1500
+export const LEASE_RENEW_MS = 1500
 /** Least time between two questions whether a silent upstream is there. */
 export const SUSPECT_MS = 250
 /** Least rest of the lease with which a promotion is ordered: the order's own time limit. */
-export const DUTY_REST_MS = 2000
+export const LEASE_REST_MS = 2000
 /** Time between two looks at every group. */
 export const WATCH_MS = 100
 /** Distance between the hosts that may act on a need, so that the first one is usually the only one. */
--- a/src/entry/leadership/extensions.ts
+++ b/src/entry/leadership/extensions.ts
@@ -7,17 +7,17 @@
 import type { Logger } from '../../core/logger/index.ts'
 import { repeat } from '../../core/time/repeat.ts'
 import type { Peers } from '../../peers/index.ts'
-import { RIGHT_MS } from '../registry/consts.ts'
+import { PRIMARY_LEASE_MS } from '../registry/consts.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
 import { EXTEND_AFTER_MS, EXTEND_LOOK_MS, GRANT_MS } from './consts.ts'
-import type { Rights } from './rights.ts'
+import type { PrimaryLeases } from './primary-leases.ts'
 import { extendQuestionSchema, grantSchema, type Grant } from './types.ts'
 
 /** Options of {@link createExtensions}. */
 interface ExtensionOptions {
   registry: Pick<Registry, 'self' | 'current' | 'peers' | 'confirmedAgeMs'>
   peers: Pick<Peers, 'ask' | 'handle'>
-  rights: Pick<Rights, 'close' | 'closed' | 'extend'>
+  rights: Pick<PrimaryLeases, 'close' | 'closed' | 'extend'>
   logger: Logger
 }
 
@@ -61,7 +61,10 @@
     if (enough !== extending) {
       extending = enough
       logger.log(enough ? 'info' : 'warn', enough ? 'leadership.extended' : 'leadership.not-extended', {
-        grants, hosts: others.length + 1, confirmedAgeMs: Math.round(registry.confirmedAgeMs()), rightMs: RIGHT_MS
+        grants,
+        hosts: others.length + 1,
+        confirmedAgeMs: Math.round(registry.confirmedAgeMs()),
+        leaseMs: PRIMARY_LEASE_MS
       })
     }
   }
--- a/src/entry/leadership/succession.ts
+++ b/src/entry/leadership/failover.ts
@@ -13,14 +13,14 @@
 import type { UpstreamReport } from '../ports/index.ts'
 import { registryKeys, type GroupRow } from '../registry/index.ts'
 import { comparePositions, formatPosition, type LogPosition } from '../../positions/position.ts'
-import { awaitClosed } from './closing.ts'
-import { CATCH_UP_MS, DUTY_RENEW_MS, PROBE_MS, SUCCESSOR_POLL_MS } from './consts.ts'
+import { awaitClosed } from './close-epoch.ts'
+import { CATCH_UP_MS, LEASE_RENEW_MS, PROBE_MS, SUCCESSOR_POLL_MS } from './consts.ts'
 import { promoteOne, type Candidate, type PromoteOptions } from './promote.ts'
-import type { SuccessionReason } from './types.ts'
+import type { FailoverReason } from './types.ts'
 
-/** Options of {@link runSuccession}. */
-interface SuccessionOptions extends PromoteOptions {
-  reason: SuccessionReason
+/** Options of {@link runFailover}. */
+interface FailoverOptions extends PromoteOptions {
+  reason: FailoverReason
   /** Epoch whose primary is to be replaced; nothing is done in another one. */
   epoch: number
   /** Since when this host has known that the epoch is closed, on the steady clock; undefined when it is not. */
@@ -37,13 +37,13 @@
  * @param options - the group and everything needed
  * @returns the new primary; undefined when it must be tried again
  */
-export async function runSuccession (options: SuccessionOptions): Promise<string | undefined> {
+export async function runFailover (options: FailoverOptions): Promise<string | undefined> {
   const { group, logger, registry, reason } = options
   const before = registry.current.group(group)
   if (before.row?.epoch !== options.epoch || await options.duty.hold() === undefined) {
     return undefined
   }
-  logger.log('warn', 'succession.started', {
+  logger.log('warn', 'failover.started', {
     group, reason, primary: before.row.primary, epoch: before.row.epoch, registryVersion: registry.current.version
   })
   const succession = randomUUID()
@@ -53,7 +53,7 @@
   }
   const { epoch, primary } = before.row
   const old = options.directory.get(primary)
-  const stopRenewing = repeat(DUTY_RENEW_MS, async () => { await options.duty.hold() })
+  const stopRenewing = repeat(LEASE_RENEW_MS, async () => { await options.duty.hold() })
   const closed = Promise.all([options.closeHere(epoch), awaitClosed({ ...options, epoch, closedAt })])
   // A primary that is out of reach is not waited for once no host works there: it answers nothing for a whole probe.
   const isOutOfReach = reason === 'unreachable'
@@ -73,7 +73,7 @@
  * that whatever another succession has sent to the store and not heard of cannot be carried out any more.
  */
 async function closeEpoch (
-  options: SuccessionOptions, row: GroupRow, version: number, succession: string
+  options: FailoverOptions, row: GroupRow, version: number, succession: string
 ): Promise<number | undefined> {
   const { registry, knownTerm, closedSince } = options
   const now = await writeRow(options, version, 'close', {
@@ -87,27 +87,27 @@
 
 /** Writes the row of the group; returns the row as it then stands, whether or not the answer to the write came. */
 async function writeRow (
-  { group, registry, logger }: SuccessionOptions, version: number, step: 'close' | 'open', row: GroupRow
+  { group, registry, logger }: FailoverOptions, version: number, step: 'close' | 'open', row: GroupRow
 ): Promise<GroupRow | undefined> {
   const key = registryKeys.group(group)
   try {
     await registry.write({ expected: [{ key, version }], put: [{ key, value: JSON.stringify(row) }] })
   } catch (thrown) {
-    logger.log('warn', 'succession.answer-lost', { group, step, reason: describeThrown(thrown) })
+    logger.log('warn', 'failover.answer-lost', { group, step, reason: describeThrown(thrown) })
     await registry.refresh()
   }
   return registry.current.group(group).row
 }
 
 async function stopOld (
-  options: SuccessionOptions, old: KnownUpstream | undefined
+  options: FailoverOptions, old: KnownUpstream | undefined
 ): Promise<UpstreamReport | undefined> {
   if (old === undefined) {
     return undefined
   }
   const term = Math.max(options.knownTerm, options.registry.current.group(options.group).row?.term ?? 0) + 1
   const report = await options.pools.demote(old, term, PROBE_MS)
-  options.logger.log('info', 'succession.old-primary', {
+  options.logger.log('info', 'failover.old-primary', {
     group: options.group,
     upstream: old.upstream,
     term,
@@ -119,7 +119,7 @@
 }
 
 /** Asks the upstreams of the group what they are. */
-async function askAll ({ group, directory, pools }: SuccessionOptions, except?: string): Promise<Candidate[]> {
+async function askAll ({ group, directory, pools }: FailoverOptions, except?: string): Promise<Candidate[]> {
   const asked = directory.ofGroup(group).filter(({ upstream }) => upstream !== except)
   const answers = await Promise.all(asked.map(async (upstream) => {
     const report = await pools.probe(upstream, PROBE_MS)
@@ -130,7 +130,7 @@
 
 /** Lets a successor receive what the stopped primary had, for a bounded time. */
 async function awaitCatchUp (
-  options: SuccessionOptions, goal: LogPosition, oldPrimary: string
+  options: FailoverOptions, goal: LogPosition, oldPrimary: string
 ): Promise<Candidate[]> {
   const until = performance.now() + CATCH_UP_MS
   for (;;) {
@@ -145,7 +145,7 @@
 }
 
 async function openEpoch (
-  options: SuccessionOptions, { upstream, report }: Candidate, succession: string
+  options: FailoverOptions, { upstream, report }: Candidate, succession: string
 ): Promise<string | undefined> {
   const { group, registry, logger } = options
   await registry.refresh()
@@ -163,6 +163,6 @@
     succession: ''
   })
   registry.nudgePeers()
-  logger.log('info', 'succession.done', { group, upstream: now?.primary, epoch: now?.epoch, term: now?.term })
+  logger.log('info', 'failover.done', { group, upstream: now?.primary, epoch: now?.epoch, term: now?.term })
   return now?.state === 'open' ? now.primary : undefined
 }
--- a/src/entry/leadership/watch.ts
+++ b/src/entry/leadership/group-watch.ts
@@ -8,10 +8,10 @@
 import type { Pools } from '../pools/index.ts'
 import type { Registry } from '../registry/index.ts'
 import { RETRY_MS, STAGGER_MS, UNREACHABLE_MS } from './consts.ts'
-import type { SuccessionReason } from './types.ts'
+import type { FailoverReason } from './types.ts'
 
 /** What a group needs. */
-type GroupNeed = 'first-primary' | SuccessionReason
+type GroupNeed = 'first-primary' | FailoverReason
 
 /** Options of {@link assessGroup}. */
 interface AssessOptions {
@@ -68,14 +68,14 @@
  *
  * @param group - the group
  * @param need - what it needs
- * @param registry - the hosts, and who holds the duty
+ * @param registry - the hosts, and who holds the promotion lease
  * @param homes - names of the homes of its primary
  * @returns the delay, in milliseconds
  */
 function staggerOf (
   group: string, need: GroupNeed, { current, self }: Pick<Registry, 'current' | 'self'>, homes: string[] = []
 ): number {
-  const holder = current.duty.row?.holder
+  const holder = current.promotionLease.row?.holder
   const order = (name: string): string => {
     const hash = name === holder ? '' : createHash('sha256').update(`${group} ${name}`).digest('hex')
     return need === 'unreachable' && !homes.includes(name) ? `others ${hash}` : hash
@@ -149,7 +149,7 @@
       }
       acting.add(group)
       act(group, standing)
-        .catch((thrown: unknown) => logger.log('warn', 'succession.failed', { group, reason: describeThrown(thrown) }))
+        .catch((thrown: unknown) => logger.log('warn', 'failover.failed', { group, reason: describeThrown(thrown) }))
         .then(async () => await pause(RETRY_MS))
         .finally(() => acting.delete(group))
     }
--- a/src/entry/leadership/index.ts
+++ b/src/entry/leadership/index.ts
@@ -8,23 +8,23 @@
 import { repeat } from '../../core/time/repeat.ts'
 import type { GroupRow } from '../registry/index.ts'
 import { PROBE_MS, STEP_BACK_MS, SUSPECT_MS, WATCH_MS } from './consts.ts'
-import { createDuty } from './duty.ts'
+import { createPromotionLease } from './promotion-lease.ts'
 import { createExtensions } from './extensions.ts'
-import { createOutlook, type Outlook } from './outlook.ts'
+import { createRecoveryEstimates, type RecoveryEstimates } from './recovery-estimates.ts'
 import { nameFirstPrimary } from './first-primary.ts'
-import { createLocalClosing } from './local-closing.ts'
+import { createLocalClosing } from './stop-local-work.ts'
 import { createReachQuestions } from './reach-questions.ts'
-import { createRights, type Rights } from './rights.ts'
+import { createPrimaryLeases, type PrimaryLeases } from './primary-leases.ts'
 import { createStopNotice } from './stop-notice.ts'
-import { runSuccession } from './succession.ts'
+import { runFailover } from './failover.ts'
 import { closedEpochSchema } from './types.ts'
-import { createGroupWatch, type StandingNeed } from './watch.ts'
+import { createGroupWatch, type StandingNeed } from './group-watch.ts'
 
-export type { PrimaryRight } from './types.ts'
+export type { PrimaryLease } from './types.ts'
 
 /** Service of the plug-in. */
-export interface Leadership extends Pick<Rights, 'of' | 'wait' | 'waitForPrimary'>,
-  Pick<Outlook, 'lost' | 'reached' | 'expectedMs'> {
+export interface Leadership extends Pick<PrimaryLeases, 'of' | 'wait' | 'waitForPrimary'>,
+  Pick<RecoveryEstimates, 'lost' | 'reached' | 'expectedMs'> {
   /** The primary as far as known, whether or not this host may work there. */
   primaryOf: (group: string) => string | undefined
   /** An upstream has been silent for long; it is asked whether it is there. */
@@ -45,8 +45,8 @@
     const pools = context.use('pools')
     const peers = context.use('peers')
     const desiredState = context.use('desiredState')
-    const rights = createRights(registry)
-    const outlook = createOutlook()
+    const rights = createPrimaryLeases(registry)
+    const outlook = createRecoveryEstimates()
     const epochs = new Map<string, number>()
     const closing = createLocalClosing({ registry, directory, pools, rights, logger })
     const stopNotice = createStopNotice({ registry, closing, logger })
@@ -137,7 +137,7 @@
   const peers = context.use('peers')
   const freshness = context.use('freshness')
   const count = context.use('metrics').count('worksward_successions', 'Successions run here, by reason and outcome')
-  const duty = createDuty({ registry, peers, logger })
+  const duty = createPromotionLease({ registry, peers, logger })
   const reach = createReachQuestions({ registry, directory, pools, homes: context.use('homes'), peers, logger })
 
   /** Whether a need that only rests on what was heard holds when looked at. */
@@ -162,7 +162,7 @@
     if (row === undefined || row.epoch !== standing.epoch || !await isConfirmed(group, standing, row)) {
       return
     }
-    const primary = await runSuccession({
+    const primary = await runFailover({
       group,
       reason: need,
       epoch: standing.epoch,
@@ -178,7 +178,7 @@
       logger
     })
     count(`${need} ${primary === undefined ? 'unfinished' : 'done'}`)
-    const isMine = registry.current.duty.row?.process === registry.self.process
+    const isMine = registry.current.promotionLease.row?.process === registry.self.process
     if (primary === undefined && isMine) {
       await duty.release()
       await pause(STEP_BACK_MS)
--- a/src/entry/leadership/rights.ts
+++ b/src/entry/leadership/primary-leases.ts
@@ -4,13 +4,13 @@
  */
 import { createWaiters } from '../../core/time/waiters.ts'
 import type { Registry } from '../registry/index.ts'
-import { EXTENDED_RIGHT_MS, RIGHT_MS } from '../registry/consts.ts'
-import type { ClosedEpoch, PrimaryRight } from './types.ts'
+import { EXTENDED_LEASE_MS, PRIMARY_LEASE_MS } from '../registry/consts.ts'
+import type { ClosedEpoch, PrimaryLease } from './types.ts'
 
-/** Rights to primaries. */
-export interface Rights {
+/** Leases on primaries. */
+export interface PrimaryLeases {
   /** The right at this moment; it must be asked again right before each sending. */
-  of: (group: string) => PrimaryRight | undefined
+  of: (group: string) => PrimaryLease | undefined
   /** Takes note that peers have extended the rights, and when they were asked. */
   extend: (askedAt: number) => void
   /** Time since the rights were last confirmed or extended, in milliseconds. */
@@ -20,13 +20,13 @@
   /** Gives up the right to a group in an epoch and all before it. */
   close: (group: string, epoch: number) => void
   /** Waits until there is a right, for a bounded time. */
-  wait: (group: string, timeoutMs: number) => Promise<PrimaryRight | undefined>
+  wait: (group: string, timeoutMs: number) => Promise<PrimaryLease | undefined>
   /**
    * Waits until a group has a primary at which hosts may work, whether or not this one may, for a bounded time.
    *
    * @returns the primary and its epoch
    */
-  waitForPrimary: (group: string, timeoutMs: number) => Promise<PrimaryRight | undefined>
+  waitForPrimary: (group: string, timeoutMs: number) => Promise<PrimaryLease | undefined>
   /** Looks whether those who wait have their right now. */
   notify: () => void
 }
@@ -37,21 +37,21 @@
  * @param registry - what is confirmed
  * @returns the rights
  */
-export function createRights (registry: Pick<Registry, 'current' | 'confirmedAgeMs'>): Rights {
+export function createPrimaryLeases (registry: Pick<Registry, 'current' | 'confirmedAgeMs'>): PrimaryLeases {
   const closedEpochs = new Map<string, number>()
   let extendedAt = -Infinity
   const ageMs = (): number => {
     const confirmedMs = registry.confirmedAgeMs()
-    return confirmedMs <= EXTENDED_RIGHT_MS ? Math.min(confirmedMs, performance.now() - extendedAt) : confirmedMs
+    return confirmedMs <= EXTENDED_LEASE_MS ? Math.min(confirmedMs, performance.now() - extendedAt) : confirmedMs
   }
   const waiters = createWaiters()
 
-  const primaryOf = (group: string): PrimaryRight | undefined => {
+  const primaryOf = (group: string): PrimaryLease | undefined => {
     const { row } = registry.current.group(group)
     const closed = row === undefined || row.state !== 'open' || row.epoch <= (closedEpochs.get(group) ?? 0)
     return closed ? undefined : { upstream: row.primary, epoch: row.epoch }
   }
-  const of = (group: string): PrimaryRight | undefined => ageMs() > RIGHT_MS ? undefined : primaryOf(group)
+  const of = (group: string): PrimaryLease | undefined => ageMs() > PRIMARY_LEASE_MS ? undefined : primaryOf(group)
   return {
     of,
     ageMs,
--- a/src/entry/leadership/promote.ts
+++ b/src/entry/leadership/promote.ts
@@ -8,7 +8,7 @@
 import type { GroupRow, Registry } from '../registry/index.ts'
 import { comparePositions, formatPosition } from '../../positions/position.ts'
 import { ORDER_TRIES, OUTDATED_WAIT_MS, PROBE_MS, SUCCESSOR_POLL_MS, TAKE_EFFECT_MS } from './consts.ts'
-import type { Duty } from './duty.ts'
+import type { PromotionLease } from './promotion-lease.ts'
 
 /** An upstream and what it said of itself. */
 export interface Candidate {
@@ -21,7 +21,7 @@
   group: string
   /** Newest term of the group that this host knows. */
   knownTerm: number
-  duty: Pick<Duty, 'hold' | 'noteOrder'>
+  duty: Pick<PromotionLease, 'hold' | 'noteOrder'>
   registry: Registry
   directory: Pick<Directory, 'get'>
   pools: Pick<Pools, 'probe'>
@@ -69,7 +69,7 @@
   const closedTerm = Math.max(knownTerm, registry.current.group(group).row?.term ?? 0)
   const led = findLeader(candidates.filter(({ upstream }) => upstream.upstream !== oldPrimary), closedTerm)
   if (led !== undefined) {
-    logger.log('info', 'succession.already-promoted', { group, upstream: led.upstream.upstream, term: led.report.term })
+    logger.log('info', 'failover.already-promoted', { group, upstream: led.upstream.upstream, term: led.report.term })
     return led
   }
   // Who has not heard of the closed term lacks all that was written in it; others may come back meanwhile.
@@ -81,7 +81,7 @@
       return promoted
     }
   }
-  logger.log('warn', 'succession.no-successor', { group, candidates: candidates.length, fit: fit.length })
+  logger.log('warn', 'failover.no-successor', { group, candidates: candidates.length, fit: fit.length })
   return undefined
 }
 
@@ -115,19 +115,19 @@
     return 'not-ordered'
   }
   const name = upstream.upstream
-  logger.log('info', 'succession.promoting', {
+  logger.log('info', 'failover.promoting', {
     group, upstream: name, fence: duty.fence, position: formatPosition(report.received)
   })
   options.duty.noteOrder()
   try {
     const outcome = await promotion.promote({ group, upstream: name, holder: registry.self.name, fence: duty.fence })
     if (outcome === 'not-running') {
-      logger.log('warn', 'succession.not-running', { group, upstream: name })
+      logger.log('warn', 'failover.not-running', { group, upstream: name })
     }
     return outcome
   } catch (thrown) {
     // It may have been taken; the upstream itself will tell.
-    logger.log('warn', 'succession.answer-lost', { group, step: 'promote', reason: describeThrown(thrown) })
+    logger.log('warn', 'failover.answer-lost', { group, step: 'promote', reason: describeThrown(thrown) })
     return 'answer-lost'
   }
 }
@@ -160,6 +160,6 @@
     }
     await pause(SUCCESSOR_POLL_MS)
   }
-  options.logger.log('warn', 'succession.no-effect', { group: options.group, upstream: upstream.upstream })
+  options.logger.log('warn', 'failover.no-effect', { group: options.group, upstream: upstream.upstream })
   return undefined
 }
--- a/src/entry/leadership/outlook.ts
+++ b/src/entry/leadership/recovery-estimates.ts
@@ -15,7 +15,7 @@
 const GREATEST_SAMPLE_MS = 5000
 
 /** Expectations of when groups have a primary again. */
-export interface Outlook {
+export interface RecoveryEstimates {
   /** Takes note that a group has no primary that works; the first sign counts. */
   lost: (group: string) => void
   /** Takes note that it has one, after a change of primary. */
@@ -31,7 +31,7 @@
  *
  * @returns the expectations
  */
-export function createOutlook (): Outlook {
+export function createRecoveryEstimates (): RecoveryEstimates {
   const lostAt = new Map<string, number>()
   let typicalMs = TYPICAL_MS
   return {
--- a/src/entry/leadership/local-closing.ts
+++ b/src/entry/leadership/stop-local-work.ts
@@ -3,17 +3,17 @@
 import { pause } from '../../core/time/deadline.ts'
 import type { Directory } from '../directory/index.ts'
 import type { Pools } from '../pools/index.ts'
-import { RIGHT_MS } from '../registry/consts.ts'
+import { PRIMARY_LEASE_MS } from '../registry/consts.ts'
 import type { Registry } from '../registry/index.ts'
 import { CLOSING_MS, LAPSE_SLACK_MS } from './consts.ts'
-import type { Rights } from './rights.ts'
+import type { PrimaryLeases } from './primary-leases.ts'
 
 /** Options of {@link createLocalClosing}. */
 interface LocalClosingOptions {
   registry: Pick<Registry, 'current' | 'confirmedAgeMs'>
   directory: Pick<Directory, 'get'>
   pools: Pick<Pools, 'of'>
-  rights: Pick<Rights, 'close' | 'ageMs'>
+  rights: Pick<PrimaryLeases, 'close' | 'ageMs'>
   logger: Logger
 }
 
@@ -46,12 +46,12 @@
     }
   }
   const noteLapse = (ageMs: number): void => {
-    const isLapsed = ageMs > RIGHT_MS
+    const isLapsed = ageMs > PRIMARY_LEASE_MS
     if (isLapsed === lapsed || !Number.isFinite(ageMs)) {
       return
     }
     lapsed = isLapsed
-    logger.log(isLapsed ? 'warn' : 'info', isLapsed ? 'leadership.right-lapsed' : 'leadership.right-back', {
+    logger.log(isLapsed ? 'warn' : 'info', isLapsed ? 'leadership.lease-expired' : 'leadership.lease-regained', {
       ageMs: Math.round(ageMs), confirmedAgeMs: Math.round(registry.confirmedAgeMs())
     })
   }
@@ -72,7 +72,7 @@
     lookAtLapse: (groups) => {
       const ageMs = rights.ageMs()
       noteLapse(ageMs)
-      if (ageMs <= RIGHT_MS + LAPSE_SLACK_MS) {
+      if (ageMs <= PRIMARY_LEASE_MS + LAPSE_SLACK_MS) {
         return
       }
       for (const group of groups) {
--- a/src/entry/leadership/stop-notice.ts
+++ b/src/entry/leadership/stop-notice.ts
@@ -7,7 +7,7 @@
 import { pause } from '../../core/time/deadline.ts'
 import type { Registry } from '../registry/index.ts'
 import { ANSWER_LOST_MS, ASKED_TO_STOP_MS } from './consts.ts'
-import type { LocalClosing } from './local-closing.ts'
+import type { LocalClosing } from './stop-local-work.ts'
 import type { ClosedEpoch } from './types.ts'
 
 /** Options of {@link createStopNotice}. */
--- a/src/entry/leadership/types.ts
+++ b/src/entry/leadership/types.ts
@@ -2,13 +2,13 @@
 import * as z from 'zod'
 
 /** The right of this host to work at a group's primary. */
-export interface PrimaryRight {
+export interface PrimaryLease {
   upstream: string
   epoch: number
 }
 
 /** Why a group needs another primary. */
-export type SuccessionReason = 'draining' | 'gone' | 'reborn' | 'unreachable' | 'deposed' | 'unfinished'
+export type FailoverReason = 'draining' | 'gone' | 'reborn' | 'unreachable' | 'deposed' | 'unfinished'
 
 /** Body of the question whether a host reaches an upstream. */
 export const reachQuestionSchema = z.object({ upstream: z.string() })
--- a/src/entry/limits/index.ts
+++ b/src/entry/limits/index.ts
@@ -14,7 +14,7 @@
 import { createAskers } from './askers.ts'
 import { ASK_MS, HOSTS_ASKED, NAMED_IN_METRICS, REACH_VERSION_MS } from './consts.ts'
 import { createCredits, type GrantAnswer } from './credits.ts'
-import { createKeeper, type Standing } from './keeper.ts'
+import { createLimitOwner, type Standing } from './limit-owner.ts'
 import { watchStalls } from './stalls.ts'
 
 /** Service of the plug-in. */
@@ -70,7 +70,7 @@
       const seen = others.filter((host) => homes.reachability(host) === 'answers' || askers.isHeard(host.name)).length
       return (1 + seen) / (1 + seen + silent)
     }
-    const keeper = createKeeper({
+    const keeper = createLimitOwner({
       desiredState: () => desiredState.current, counting: () => settings.limits, seenPart
     })
 
@@ -124,7 +124,7 @@
       } catch (thrown) {
         homes.noteSilent(host, thrown)
         count('failed')
-        logger.log('info', 'limit.keeper-failed', { organisation, peer: host.name, reason: describeThrown(thrown) })
+        logger.log('info', 'limit.owner-failed', { organisation, peer: host.name, reason: describeThrown(thrown) })
         return undefined
       }
     }
--- a/src/entry/limits/keeper.ts
+++ b/src/entry/limits/limit-owner.ts
@@ -12,8 +12,8 @@
   sureSince: number
 }
 
-/** Options of {@link createKeeper}. */
-interface KeeperOptions {
+/** Options of {@link createLimitOwner}. */
+interface LimitOwnerOptions {
   desiredState: () => Pick<DesiredState, 'organisations'> | undefined
   counting: () => LimitCounting
   /** Part of all hosts that this host can see, from 0 to 1: another may keep the same limits for the rest. */
@@ -28,7 +28,7 @@
 }
 
 /** Keeps limits. */
-interface Keeper {
+interface LimitOwner {
   /**
    * Grants operations to an organisation.
    *
@@ -60,7 +60,7 @@
  * @param options - the limits, and how much this host sees
  * @returns the keeper; nothing has been granted yet
  */
-export function createKeeper ({ desiredState, counting, seenPart }: KeeperOptions): Keeper {
+export function createLimitOwner ({ desiredState, counting, seenPart }: LimitOwnerOptions): LimitOwner {
   const organisations = new Map<string, KeptOrganisation>()
 
   /** Begins anew where another host may have kept the limit since it was last asked for here. */
--- a/src/entry/pools/index.ts
+++ b/src/entry/pools/index.ts
@@ -5,7 +5,7 @@
 import { TIMED_OUT, within } from '../../core/time/deadline.ts'
 import { connectionLimits, type ConnectionLimits } from './connection-limits.ts'
 import { createUpstreamHealth, type UpstreamHealth } from './upstream-health.ts'
-import { createStatementGate, type StatementGate } from './statement-gate.ts'
+import { createStatementQueue, type StatementQueue } from './statement-queue.ts'
 import { createUpstreamPool, type UpstreamPool } from './upstream-pool.ts'
 
 export { alignValues, prepareOn } from './align-connection.ts'
@@ -15,7 +15,7 @@
 export interface UsedUpstream {
   pool: UpstreamPool
   /** Lets statements go there a few at a time. */
-  gate: StatementGate
+  queue: StatementQueue
   health: UpstreamHealth
 }
 
@@ -80,10 +80,10 @@
           }
         }
       })
-      const gate = createStatementGate({
+      const gate = createStatementQueue({
         group, upstream, limits: () => ({ slots: known.slots, homes: homes.of(known).length })
       })
-      return { pool, gate, health }
+      return { pool, queue: gate, health }
     }
     const of = (upstream: KnownUpstream): UsedUpstream => {
       const known = used.get(upstream.upstream) ?? create(upstream)
@@ -140,7 +140,7 @@
         demote: async (upstream, term, timeoutMs) =>
           await ask(upstream, timeoutMs, async (link) => await link.demote(term))
       },
-      dump: () => Object.fromEntries([...used].map(([name, { pool, gate, health }]) => [name, {
+      dump: () => Object.fromEntries([...used].map(([name, { pool, queue: gate, health }]) => [name, {
         group: pool.target.group,
         open: pool.size,
         inUse: pool.inUse,
--- a/src/entry/pools/statement-gate.ts
+++ b/src/entry/pools/statement-queue.ts
@@ -22,7 +22,7 @@
 const PRIORITY_WEIGHT_MS = 1_000_000
 
 /** What a gate lets through. */
-interface GateLimits {
+interface QueueLimits {
   /** Statements that the upstream runs at a time. */
   slots: number
   /** Hosts that share it. */
@@ -30,7 +30,7 @@
 }
 
 /** Who wants to go through. */
-interface GateRequest {
+interface QueueRequest {
   /** 0 goes first. */
   priority: number
   /** Expected time of the statement at the upstream, in milliseconds. */
@@ -40,7 +40,7 @@
 }
 
 /** The gate of one upstream. */
-export interface StatementGate {
+export interface StatementQueue {
   readonly running: number
   readonly waiting: number
   /**
@@ -50,7 +50,7 @@
    * @returns to be called when the statement has ended; calling it again does nothing
    * @throws RequestError `Overloaded` with verdict `not-run`, at once when the wait is expected to be too long
    */
-  enter: (request: GateRequest) => Promise<() => void>
+  enter: (request: QueueRequest) => Promise<() => void>
 }
 
 /** Someone who waits. */
@@ -66,7 +66,7 @@
  * @param limits - the upstream's slots and the hosts that share them
  * @returns the time, in milliseconds
  */
-export function expectedWaitMs (before: number[], { slots, homes }: GateLimits): number {
+export function expectedWaitMs (before: number[], { slots, homes }: QueueLimits): number {
   const own = Math.max(1, slots / Math.max(1, homes))
   return before.reduce((sum, costMs) => sum + costMs, 0) / own
 }
@@ -77,16 +77,16 @@
  * @param options - the upstream, its group and the limits, asked at each entry
  * @returns the gate
  */
-export function createStatementGate (
-  options: { group: string, upstream: string, limits: () => GateLimits }
-): StatementGate {
+export function createStatementQueue (
+  options: { group: string, upstream: string, limits: () => QueueLimits }
+): StatementQueue {
   const { group, upstream } = options
   const queue = new PQueue({ concurrency: 1 })
   const waiting = new Set<Waiting>()
 
   const overloaded = (reason: string, retryAfterMs: number): RequestError =>
     new RequestError('not-run', 'Overloaded', { group, reason, retryAfterMs: Math.ceil(retryAfterMs) })
-  const waitForTurn = async (request: GateRequest, own: Waiting): Promise<() => void> =>
+  const waitForTurn = async (request: QueueRequest, own: Waiting): Promise<() => void> =>
     await new Promise((resolve, reject) => {
       let isOver = false
       const timer = setTimeout(() => {
--- a/src/entry/registry/index.ts
+++ b/src/entry/registry/index.ts
@@ -10,7 +10,7 @@
 import { repeat } from '../../core/time/repeat.ts'
 import type { StoreTransaction } from '../ports/index.ts'
 import { watchNeighbour } from './neighbour-watch.ts'
-import { EXTENDED_RIGHT_MS, RIGHT_MARGIN_MS } from './consts.ts'
+import { EXTENDED_LEASE_MS, LEASE_MARGIN_MS } from './consts.ts'
 import { keepLearning } from './learning.ts'
 import { followersOf } from './readers.ts'
 import { createRelay } from './relay.ts'
@@ -153,7 +153,7 @@
       name: self.name,
       current: () => current,
       confirmedAgeMs: () => performance.now() - confirmedAt,
-      registeredMs: EXTENDED_RIGHT_MS,
+      registeredMs: EXTENDED_LEASE_MS,
       relay,
       readAndRegister: async () => await refresh() && await register(),
       onError: (thrown) => logger.log('debug', 'registry.register-failed', { reason: describeThrown(thrown) })
@@ -218,12 +218,12 @@
       storeNowAtLeastMs: () => performance.now() + clockOffsets.least,
       storeNowAtMostMs: () => performance.now() + clockOffsets.most
     }
-    const rightMs = EXTENDED_RIGHT_MS + RIGHT_MARGIN_MS
+    const rightMs = EXTENDED_LEASE_MS + LEASE_MARGIN_MS
     const stopWatching = watchNeighbour({ registry: service, peers, logger, rightMs })
 
     return {
       service,
-      dump: () => ({ self, version: current.version, hosts: current.hosts, duty: current.duty.row }),
+      dump: () => ({ self, version: current.version, hosts: current.hosts, duty: current.promotionLease.row }),
       announceStop: () => { void tellLeaving() },
       drain: async () => {
         leaving = true
--- a/src/entry/registry/snapshot.ts
+++ b/src/entry/registry/snapshot.ts
@@ -3,7 +3,8 @@
 import type * as z from 'zod'
 import type { StoreRow } from '../ports/index.ts'
 import {
-  dutyRowSchema, groupRowSchema, hostRowSchema, registryKeys, type DutyRow, type GroupRow, type HostRow, type Versioned
+  groupRowSchema, hostRowSchema, promotionLeaseRowSchema, registryKeys, type GroupRow, type HostRow,
+  type PromotionLeaseRow, type Versioned
 } from './types.ts'
 
 /** A host and its name. */
@@ -27,7 +28,7 @@
   group: (name: string) => Versioned<GroupRow>
   /** Groups at whose primaries nobody may work, and the epoch that is closed. */
   readonly closedGroups: Array<{ group: string, epoch: number }>
-  readonly duty: Versioned<DutyRow>
+  readonly promotionLease: Versioned<PromotionLeaseRow>
 }
 
 const HOST_PREFIX = registryKeys.host('')
@@ -106,7 +107,7 @@
       const { state, epoch } = groupRowSchema.parse(JSON.parse(value))
       return state === 'closed' ? [{ group: key.slice(GROUP_PREFIX.length), epoch }] : []
     }),
-    duty: decode(registryKeys.duty, dutyRowSchema)
+    promotionLease: decode(registryKeys.promotionLease, promotionLeaseRowSchema)
   }
 }
 
--- a/src/entry/registry/types.ts
+++ b/src/entry/registry/types.ts
@@ -40,8 +40,8 @@
   succession: z.string()
 })
 
-/** The lease on the duty of promoting. */
-export const dutyRowSchema = z.object({
+/** The lease on promoting. */
+export const promotionLeaseRowSchema = z.object({
   holder: z.string(),
   /** Process of the holder. */
   process: z.string(),
@@ -55,8 +55,8 @@
 export type HostRow = z.infer<typeof hostRowSchema>
 /** Who leads a group. */
 export type GroupRow = z.infer<typeof groupRowSchema>
-/** The lease on the duty of promoting. */
-export type DutyRow = z.infer<typeof dutyRowSchema>
+/** The lease on promoting. */
+export type PromotionLeaseRow = z.infer<typeof promotionLeaseRowSchema>
 
 /** A row with its version; 0 when there is none. */
 export interface Versioned<Row> {
@@ -68,7 +68,7 @@
 export const registryKeys = {
   host: (name: string): string => `host/${name}`,
   group: (name: string): string => `group/${name}`,
-  duty: 'duty/promotion'
+  promotionLease: 'duty/promotion'
 } as const
 
 /** Body of the question for a peer's snapshot. */
--- a/src/entry/requests/choose-upstream.ts
+++ b/src/entry/requests/choose-upstream.ts
@@ -66,7 +66,7 @@
 function costOf (
   { failureDomain, homes }: EntryContext, { known, used, home }: ReadChoice, position: LogPosition, isPrimary: boolean
 ): number {
-  const { health, pool, gate } = used
+  const { health, pool, queue: gate } = used
   const busy = gate.running + gate.waiting + homes.loadOf(known.upstream)
   const hasReached = health.reached !== undefined && comparePositions(health.reached, position) >= 0
   return health.latencyMs * (1 + busy / known.slots) +
--- a/src/entry/requests/home-server.ts
+++ b/src/entry/requests/home-server.ts
@@ -59,7 +59,7 @@
   let nextNumber = 1
 
   const reportOf = (seat: Pick<Seat, 'used'>): Pick<HomeReply, 'load' | 'leaving'> => ({
-    load: seat.used.gate.running + seat.used.gate.waiting, leaving: options.isLeaving()
+    load: seat.used.queue.running + seat.used.queue.waiting, leaving: options.isLeaving()
   })
   const replyOf = (seat: Seat, { answer, epoch, ranMs }: TimedAnswer): HomeReply =>
     ({ answer, epoch, ranMs: Math.round(ranMs), ...reportOf(seat) })
--- a/src/entry/requests/primary-access.ts
+++ b/src/entry/requests/primary-access.ts
@@ -29,7 +29,7 @@
  */
 export async function acquire (
   { measures }: EntryContext, { organisation, values, priority, costMs, inTimeUntil }: RequestScope,
-  { pool, gate }: UsedUpstream, greatestWaitMs: number
+  { pool, queue: gate }: UsedUpstream, greatestWaitMs: number
 ): Promise<Turn> {
   const startedAt = performance.now()
   const inTimeMs = Math.max(QUEUE_LEAST_MS, (inTimeUntil - startedAt) * QUEUE_SHARE)
--- a/src/entry/requests/seat.ts
+++ b/src/entry/requests/seat.ts
@@ -5,7 +5,7 @@
 import { RequestError, toRequestError } from '../../core/errors/index.ts'
 import { TIMED_OUT, within } from '../../core/time/deadline.ts'
 import type { KnownUpstream } from '../directory/index.ts'
-import type { PrimaryRight } from '../leadership/index.ts'
+import type { PrimaryLease } from '../leadership/index.ts'
 import type { ConnectionLease, UsedUpstream } from '../pools/index.ts'
 import type { UpstreamCommand } from '../ports/index.ts'
 import type { LogPosition } from '../../positions/position.ts'
@@ -82,7 +82,7 @@
   leave: () => void
   after?: LogPosition
   /** The right under which this host works at the primary; undefined at a replica. */
-  right?: PrimaryRight
+  right?: PrimaryLease
 }
 
 /** A place on a connection of this host. */
@@ -105,7 +105,7 @@
  * @param right - the right under which the work began
  * @returns whether it is
  */
-export function holds ({ leadership }: EntryContext, group: string, right: PrimaryRight): boolean {
+export function holds ({ leadership }: EntryContext, group: string, right: PrimaryLease): boolean {
   return leadership.of(group)?.epoch === right.epoch
 }
 
@@ -203,7 +203,7 @@
     step: async (scope, step) => {
       // What is open holds a connection and locks, so it goes first.
       const waitMs = scope.deadline.leftMs
-      const leaveStep = await used.gate.enter({ priority: OPEN_PRIORITY, costMs: scope.costMs, waitMs })
+      const leaveStep = await used.queue.enter({ priority: OPEN_PRIORITY, costMs: scope.costMs, waitMs })
       try {
         // The right may have gone while it waited for its turn.
         const reason = brokenBecause()
--- a/src/explain/clock-offsets.ts
+++ b/src/explain/clock-offsets.ts
@@ -1,6 +1,6 @@
 /**
  * How far the clocks of hosts differ, from pairs of lines of which one caused the other: a host says that it stops
- * working at a primary (`leadership.closing`) after the promoter has begun (`succession.started`) and before the
+ * working at a primary (`leadership.closing`) after the promoter has begun (`failover.started`) and before the
  * promoter notes it (`leadership.host-closed`).
  */
 import type { LogEntry } from './parse-log.ts'
@@ -13,7 +13,7 @@
  */
 export function estimateOffsets (entries: LogEntry[]): Map<string, number> {
   const offsets = new Map<string, number>()
-  const starts = entries.filter(({ event }) => event === 'succession.started')
+  const starts = entries.filter(({ event }) => event === 'failover.started')
   const noted = entries.filter(({ event, fields }) =>
     event === 'leadership.host-closed' && fields['because'] === 'acknowledged')
   const closings = entries.filter(({ event }) => event === 'leadership.closing')
--- a/src/explain/story.ts
+++ b/src/explain/story.ts
@@ -2,7 +2,7 @@
 import { estimateOffsets } from './clock-offsets.ts'
 import type { LogEntry } from './parse-log.ts'
 
-/** How long before a request began its story looks back, in milliseconds: longer than any right lasts. */
+/** How long before a request began its story looks back, in milliseconds: longer than any lease lasts. */
 const LOOK_BACK_MS = 12_000
 /** How long after its end the story goes on, in milliseconds: a silent upstream is noticed within that time. */
 const LOOK_ON_MS = 1500
@@ -28,9 +28,9 @@
 }
 
 /** Events of other hosts that say something about a group everywhere. */
-const GROUP_EVENTS = /^(succession\.|leadership\.|upstream\.unreachable)/
+const GROUP_EVENTS = /^(failover\.|promotion-lease\.|leadership\.|upstream\.unreachable)/
 /** Events that say something about every group of a host. */
-const HOST_EVENTS = /^(store\.|feed\.|leadership\.right|process\.|desired-state\.|registry\.(registered|host-retired))/
+const HOST_EVENTS = /^(store\.|feed\.|leadership\.lease|process\.|desired-state\.|registry\.(registered|host-retired))/
 
 /**
  * Tells the story of a request.
@@ -67,11 +67,11 @@
 type Finder = (line: StoryLine, last: LogEntry) => string | undefined
 
 const FINDERS: Record<string, Finder> = {
-  'succession.started': ({ atMs, entry: { host, fields } }) =>
+  'failover.started': ({ atMs, entry: { host, fields } }) =>
     `${atMs} ms: ${host} began to replace primary ${fields['primary']} of the group: ${fields['reason']}`,
-  'succession.no-successor': ({ atMs }) => `${atMs} ms: no upstream could be promoted`,
+  'failover.no-successor': ({ atMs }) => `${atMs} ms: no upstream could be promoted`,
   'leadership.host-closed': ({ atMs, entry: { fields } }) => Number(fields['waitedMs']) > 1000
-    ? `${atMs} ms: the succession waited ${fields['waitedMs']} ms for host ${fields['peer']} (${fields['because']})`
+    ? `${atMs} ms: the failover waited ${fields['waitedMs']} ms for host ${fields['peer']} (${fields['because']})`
     : undefined,
   'upstream.unreachable': ({ atMs, entry: { host, fields } }, last) =>
     host === last.host || fields['upstream'] === last.fields['upstream']
@@ -79,8 +79,8 @@
       : undefined,
   'store.lost': ({ atMs, entry: { host } }, last) =>
     host === last.host ? `${atMs} ms: the store did not answer this host` : undefined,
-  'leadership.right-lapsed': ({ atMs, entry: { host, fields } }, last) => host === last.host
-    ? `${atMs} ms: this host had no right to primaries: its confirmation was ${fields['confirmedAgeMs']} ms old`
+  'leadership.lease-expired': ({ atMs, entry: { host, fields } }, last) => host === last.host
+    ? `${atMs} ms: this host had no lease on primaries: its confirmation was ${fields['confirmedAgeMs']} ms old`
     : undefined,
   'leadership.aborted': ({ atMs, entry: { host, fields } }, last) => host === last.host
     ? `${atMs} ms: this host broke off what was in progress at ${fields['upstream']}: ${fields['reason']}`
--- a/src/placement/group-homes.ts
+++ b/src/placement/group-homes.ts
@@ -1,5 +1,6 @@
 /** Which processes look after a group: rendezvous hashing, spread over failure domains. */
 import xxhash from 'xxhash-wasm'
+import { byScore, pairOf, type ScoredHost } from './rendezvous.ts'
 
 const { h64 } = await xxhash()
 
@@ -9,12 +10,6 @@
   failureDomain: string
 }
 
-/** A candidate and its score for a group. */
-interface Scored<Member> {
-  member: Member
-  score: bigint
-}
-
 /**
  * Scores a host for a group; the highest scores look after it.
  *
@@ -23,7 +18,7 @@
  * @returns the score
  */
 export function scoreOf (group: string, host: string): bigint {
-  return h64(`${group}\0${host}`)
+  return h64(pairOf(group, host))
 }
 
 /**
@@ -37,12 +32,12 @@
  * @returns the chosen ones, best first
  */
 export function placeGroup<Member extends Candidate> (group: string, candidates: Member[], count: number): Member[] {
-  const scored = candidates.map((member) => ({ member, score: scoreOf(group, member.host) }))
-  const bestByDomain = new Map<string, Scored<Member>>()
+  const scored = candidates.map((member) => ({ host: member, score: scoreOf(group, member.host) }))
+  const bestByDomain = new Map<string, ScoredHost<Member, bigint>>()
   for (const candidate of scored) {
-    const best = bestByDomain.get(candidate.member.failureDomain)
+    const best = bestByDomain.get(candidate.host.failureDomain)
     if (best === undefined || candidate.score > best.score) {
-      bestByDomain.set(candidate.member.failureDomain, candidate)
+      bestByDomain.set(candidate.host.failureDomain, candidate)
     }
   }
   const chosen = [...bestByDomain.values()].sort(byScore).slice(0, count)
@@ -50,9 +45,5 @@
     const rest = scored.filter((candidate) => !chosen.includes(candidate)).sort(byScore)
     chosen.push(...rest.slice(0, count - chosen.length))
   }
-  return chosen.map(({ member }) => member)
-}
-
-function byScore<Member> (left: Scored<Member>, right: Scored<Member>): number {
-  return left.score > right.score ? -1 : left.score < right.score ? 1 : 0
+  return chosen.map(({ host }) => host)
 }
--- a/src/placement/upstream-homes.ts
+++ b/src/placement/upstream-homes.ts
@@ -5,6 +5,7 @@
  * best: hosts that see different lists choose different homes, which costs time and breaks nothing.
  */
 import { createHash } from 'node:crypto'
+import { byScore, pairOf } from './rendezvous.ts'
 
 /**
  * Least number of connections that a home has of an upstream's cap. A statement or a transaction takes one; with fewer
@@ -46,7 +47,7 @@
  * @returns the score
  */
 export function scoreOf (upstream: string, host: string): string {
-  const pair = `${upstream}\0${host}`
+  const pair = pairOf(upstream, host)
   const known = scores.get(pair)
   if (known !== undefined) {
     return known
@@ -69,7 +70,7 @@
 export function orderByScore<Host extends { name: string }> (name: string, hosts: readonly Host[]): Host[] {
   return hosts
     .map((host) => ({ host, score: scoreOf(name, host.name) }))
-    .sort((left, right) => left.score > right.score ? -1 : 1)
+    .sort(byScore)
     .map(({ host }) => host)
 }
 
@@ -100,7 +101,7 @@
   const distance = (host: Host): number => host.failureDomain === failureDomain ? 0 : 1
   return hosts
     .map((host) => ({ host, score: scoreOf(upstream, host.name) }))
-    .sort((left, right) => distance(left.host) - distance(right.host) || (left.score > right.score ? -1 : 1))
+    .sort((left, right) => distance(left.host) - distance(right.host) || byScore(left, right))
     .slice(0, countHomes(cap, slots, hosts.length))
     .map(({ host }) => host)
 }
--- a/test/entry/leadership/duty.test.ts
+++ b/test/entry/leadership/promotion-lease.test.ts
@@ -2,19 +2,19 @@
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { expect } from 'earl'
 import { silentLogger } from '../../../src/core/logger/index.ts'
-import { DUTY_LEASE_MS } from '../../../src/entry/leadership/consts.ts'
-import { createDuty, type Duty } from '../../../src/entry/leadership/duty.ts'
-import type { DutyRow, Registry } from '../../../src/entry/registry/index.ts'
+import { PROMOTION_LEASE_MS } from '../../../src/entry/leadership/consts.ts'
+import { createPromotionLease, type PromotionLease } from '../../../src/entry/leadership/promotion-lease.ts'
+import type { PromotionLeaseRow, Registry } from '../../../src/entry/registry/index.ts'
 
-/** The row of the duty, as all hosts share it. */
+/** The row of the promotion lease, as all hosts share it. */
 class SharedRow {
-  row: DutyRow | undefined
+  row: PromotionLeaseRow | undefined
   version = 0
 
-  dutyOf (name: string): Duty {
+  leaseOf (name: string): PromotionLease {
     const now = (): number => performance.now()
     const hosts = ['h1', 'h2'].map((host) => ({ name: host, process: `process of ${host}` }))
-    const read = () => ({ hosts, duty: { row: this.row, version: this.version } })
+    const read = () => ({ hosts, promotionLease: { row: this.row, version: this.version } })
     const registry = {
       self: { name, process: `process of ${name}` },
       get current () { return read() },
@@ -25,17 +25,17 @@
         if (expected[0]!.version !== this.version) {
           return false
         }
-        this.row = JSON.parse(put[0]!.value) as DutyRow
+        this.row = JSON.parse(put[0]!.value) as PromotionLeaseRow
         this.version++
         return true
       }
     }
     const peers = { ask: async () => ({}) }
-    return createDuty({ registry: registry as unknown as Registry, peers, logger: silentLogger })
+    return createPromotionLease({ registry: registry as unknown as Registry, peers, logger: silentLogger })
   }
 }
 
-describe('the duty of promoting', () => {
+describe('the lease on promoting', () => {
   let clock: Clock
   let shared: SharedRow
   beforeEach(() => {
@@ -45,32 +45,32 @@
   afterEach(() => { clock.uninstall() })
 
   it('is free for another host at once when it is released, with a higher fencing token', async () => {
-    const first = shared.dutyOf('h1')
+    const first = shared.leaseOf('h1')
     const held = await first.hold()
     await first.release()
-    const next = await shared.dutyOf('h2').hold()
+    const next = await shared.leaseOf('h2').hold()
     expect(next?.fence).toEqual(held!.fence + 1)
   })
 
   it('lets nothing more be ordered by what was taken before its release', async () => {
-    const duty = shared.dutyOf('h1')
-    const held = await duty.hold()
+    const lease = shared.leaseOf('h1')
+    const held = await lease.hold()
     expect(held?.mayOrder()).toEqual(true)
     await clock.tickAsync(1)
-    await duty.release()
+    await lease.release()
     expect(held?.mayOrder()).toEqual(false)
-    expect((await duty.hold())?.mayOrder()).toEqual(false)
+    expect((await lease.hold())?.mayOrder()).toEqual(false)
     await clock.tickAsync(1)
-    expect((await duty.hold())?.mayOrder()).toEqual(true)
+    expect((await lease.hold())?.mayOrder()).toEqual(true)
   })
 
   it('stays for its whole lease once a promotion was ordered', async () => {
-    const duty = shared.dutyOf('h1')
-    await duty.hold()
-    duty.noteOrder()
-    await duty.release()
-    expect(await shared.dutyOf('h2').hold()).toEqual(undefined)
-    await clock.tickAsync(DUTY_LEASE_MS + 1)
-    expect((await shared.dutyOf('h2').hold())?.fence).toEqual(2)
+    const lease = shared.leaseOf('h1')
+    await lease.hold()
+    lease.noteOrder()
+    await lease.release()
+    expect(await shared.leaseOf('h2').hold()).toEqual(undefined)
+    await clock.tickAsync(PROMOTION_LEASE_MS + 1)
+    expect((await shared.leaseOf('h2').hold())?.fence).toEqual(2)
   })
 })
--- a/test/entry/pools/statement-gate.test.ts
+++ b/test/entry/pools/statement-queue.test.ts
@@ -5,7 +5,7 @@
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import { RequestError } from '../../../src/core/errors/index.ts'
 import { countHomes } from '../../../src/placement/upstream-homes.ts'
-import { createStatementGate, expectedWaitMs } from '../../../src/entry/pools/statement-gate.ts'
+import { createStatementQueue, expectedWaitMs } from '../../../src/entry/pools/statement-queue.ts'
 
 /** Kinds of statements: the work of one, how often it comes, and the time for an answer in time. */
 const KINDS = [
@@ -51,7 +51,7 @@
   /** Plays 1.15 times the work that the slots can do, through gates of some hosts or without any. */
   const play = async (withGates: boolean, homes = 2): Promise<Map<string, Got>> => {
     const upstream = new BusyUpstream()
-    const gates = Array.from({ length: homes }, () => createStatementGate({
+    const gates = Array.from({ length: homes }, () => createStatementQueue({
       group: 'g', upstream: 'u', limits: () => ({ slots: SLOTS, homes })
     }))
     const random = xoroshiro128plus(SEED)
@@ -111,7 +111,7 @@
   })
 
   it('refuses at once when what goes before takes longer than the wait, and says when to come back', async () => {
-    const gate = createStatementGate({ group: 'g', upstream: 'u', limits: () => ({ slots: 1, homes: 1 }) })
+    const gate = createStatementQueue({ group: 'g', upstream: 'u', limits: () => ({ slots: 1, homes: 1 }) })
     const enter = async (waitMs: number): Promise<() => void> => await gate.enter({ priority: 1, costMs: 100, waitMs })
     await enter(1000)
     await enter(1000)
@@ -127,7 +127,7 @@
   })
 
   it('lets the next one in when one has ended, the most urgent first, then the shortest', async () => {
-    const gate = createStatementGate({ group: 'g', upstream: 'u', limits: () => ({ slots: 1, homes: 2 }) })
+    const gate = createStatementQueue({ group: 'g', upstream: 'u', limits: () => ({ slots: 1, homes: 2 }) })
     const first = await gate.enter({ priority: 1, costMs: 10, waitMs: 100 })
     await gate.enter({ priority: 1, costMs: 10, waitMs: 100 })
     const order: string[] = []
--- a/test/entry/process/failover-time.test.ts
+++ b/test/entry/process/failover-time.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { EXTENDED_RIGHT_MS, RIGHT_MARGIN_MS } from '../../../src/entry/registry/consts.ts'
+import { EXTENDED_LEASE_MS, LEASE_MARGIN_MS } from '../../../src/entry/registry/consts.ts'
 import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
 describe('the time of a failover', () => {
@@ -47,7 +47,7 @@
 
   it('is short when a host is gone for good, once its right has lapsed', async () => {
     powerOff('h3')
-    await suite.clock.tickAsync(EXTENDED_RIGHT_MS + RIGHT_MARGIN_MS + 4000)
+    await suite.clock.tickAsync(EXTENDED_LEASE_MS + LEASE_MARGIN_MS + 4000)
     expect(await gapAfter(crashPrimary, ['h1', 'h2']) < 1500).toEqual(true)
   })
 
@@ -68,7 +68,7 @@
   }
 
   it('is short when the promoter does not reach the upstream that it has promoted', async () => {
-    cutOffWhoSays('succession.promoting')
+    cutOffWhoSays('failover.promoting')
     expect(await gapAfter(crashPrimary, ['h1', 'h2', 'h3']) < 2000).toEqual(true)
     expect(new Set(suite.world.upstreams.promotions.map(({ upstream }) => upstream)).size).toEqual(1)
   })
@@ -77,7 +77,7 @@
     const beginners = new Set<string>()
     suite.world.logger = {
       log: (_level, said, fields) => {
-        if (said === 'succession.started' && beginners.size === 0) {
+        if (said === 'failover.started' && beginners.size === 0) {
           beginners.add(String(fields?.['host']))
           suite.world.upstreams.all.forEach(({ cutOff }) => cutOff.add(String(fields?.['host'])))
         }
@@ -89,7 +89,7 @@
   it('waits for the right of a host that has just fallen silent, among few', async () => {
     powerOff('h3')
     const gap = await gapAfter(crashPrimary, ['h1', 'h2'])
-    expect(gap > EXTENDED_RIGHT_MS && gap < EXTENDED_RIGHT_MS + RIGHT_MARGIN_MS + 4000).toEqual(true)
+    expect(gap > EXTENDED_LEASE_MS && gap < EXTENDED_LEASE_MS + LEASE_MARGIN_MS + 4000).toEqual(true)
   })
 
   it('waits no longer than a right lasts unextended, among many', async () => {
--- a/test/explain/story.test.ts
+++ b/test/explain/story.test.ts
@@ -14,15 +14,15 @@
 const AHEAD = 5000
 const log = [
   line(0, 'h1', 'upstream.unreachable', { group: 'g', upstream: 'g-a', fault: 'refused', reason: 'connect ECONNREFUSED' }),
-  line(300, 'h1', 'succession.started', { group: 'g', reason: 'unreachable', primary: 'g-a', epoch: 1 }),
+  line(300, 'h1', 'failover.started', { group: 'g', reason: 'unreachable', primary: 'g-a', epoch: 1 }),
   line(310 + AHEAD, 'h2', 'leadership.closing', { group: 'g', epoch: 1, confirmedAgeMs: 900 }),
   line(320, 'h1', 'leadership.host-closed', { group: 'g', epoch: 1, peer: 'h2', because: 'acknowledged', waitedMs: 8 }),
-  line(400, 'h1', 'succession.started', { group: 'other', reason: 'draining', primary: 'x', epoch: 1 }),
+  line(400, 'h1', 'failover.started', { group: 'other', reason: 'draining', primary: 'x', epoch: 1 }),
   line(450 + AHEAD, 'h2', 'request.failed', {
     id: 'r7', type: 'data', group: 'g', outcome: 'busy', reason: 'no primary is known; retry after 300 ms', ms: 140
   }),
   'a line of another program',
-  line(20_000, 'h1', 'succession.started', { group: 'g', reason: 'draining', primary: 'g-b', epoch: 2 })
+  line(20_000, 'h1', 'failover.started', { group: 'g', reason: 'draining', primary: 'g-b', epoch: 2 })
 ]
 const entries = log.flatMap((text) => parseLogLine(text) ?? [])
 
@@ -37,7 +37,7 @@
     const { lines, offsets } = tellStory(entries, 'r7')
     expect(offsets.get('h2')).toEqual(-AHEAD)
     expect(lines.map(({ entry }) => entry.event)).toEqual([
-      'upstream.unreachable', 'succession.started', 'leadership.closing', 'leadership.host-closed', 'request.failed'
+      'upstream.unreachable', 'failover.started', 'leadership.closing', 'leadership.host-closed', 'request.failed'
     ])
   })
 
--- a/test/frozen/rows.test.ts
+++ b/test/frozen/rows.test.ts
@@ -26,12 +26,12 @@
 
 describe('rows of the registry keep their bytes', () => {
   it('are in one table, under these keys', () => {
-    expect([REGISTRY_TABLE, registryKeys.host('h1'), registryKeys.group('g'), registryKeys.duty, RETIRED_PROCESS])
+    expect([REGISTRY_TABLE, registryKeys.host('h1'), registryKeys.group('g'), registryKeys.promotionLease, RETIRED_PROCESS])
       .toEqual(['worksward', 'host/h1', 'group/g', 'duty/promotion', 'retired'])
   })
 
   it('are decoded, also with the fewest fields and with unknown ones', () => {
-    const { hosts, liveHosts, closedGroups, duty, group, digest } = createSnapshot(ROWS, 9, 0)
+    const { hosts, liveHosts, closedGroups, promotionLease, group, digest } = createSnapshot(ROWS, 9, 0)
     const [first, second, third] = [
       {
         address: '10.1.0.8',
@@ -57,7 +57,7 @@
     expect<unknown[]>(hosts).toEqual([first, second, third])
     expect<unknown[]>(liveHosts).toEqual([first, second])
     expect(closedGroups).toEqual([{ group: 'g', epoch: 4 }])
-    expect(duty).toEqual({ row: { holder: 'h1', process: 'p1', fence: 2, expiresMs: 1234.5 }, version: 9 })
+    expect(promotionLease).toEqual({ row: { holder: 'h1', process: 'p1', fence: 2, expiresMs: 1234.5 }, version: 9 })
     expect(group('g')).toEqual({
       row: {
         epoch: 4,
@@ -80,8 +80,8 @@
   it('are refused when fields are missing', () => {
     const decode = (key: string, value: string): string => {
       try {
-        const { duty, group } = createSnapshot([{ key, value, version: 1 }], 1, 0)
-        return duty.row === undefined && group('g').row === undefined ? 'nothing' : 'decoded'
+        const { promotionLease, group } = createSnapshot([{ key, value, version: 1 }], 1, 0)
+        return promotionLease.row === undefined && group('g').row === undefined ? 'nothing' : 'decoded'
       } catch {
         return 'refused'
       }
