--- /dev/null
+++ b/src/peers/open-link.ts
@@ -0,0 +1,101 @@
+/** Opens a link to a peer: connects, and proves to each other that both sides know the key. */
+import type { Socket } from 'node:net'
+import { RequestError, type Verdict } from '../core/errors/index.ts'
+import { attachFrames, type FrameStream } from '../core/wire/frames.ts'
+import { createNonce, proveKey, sameProof } from './authentication.ts'
+import { challengeSchema, replyFrameSchema, welcomeSchema, type ReplyFrame } from './types.ts'
+
+/** Options of {@link openLink}. */
+interface LinkOptions {
+  /** Name of this host. */
+  host: string
+  key: string
+  /** The peer's address, for errors. */
+  peer: string
+  /** Time to connect and authenticate, in milliseconds. */
+  connectTimeoutMs: number
+  /** Takes each reply that arrives. */
+  onReply: (link: OpenLink, reply: ReplyFrame) => void
+}
+
+/** A request that waits for its answer. */
+interface PendingRequest {
+  resolve: (body: unknown) => void
+  reject: (error: RequestError) => void
+  timer: NodeJS.Timeout
+}
+
+/** How far the handshake of a link has come. */
+type LinkStage = 'challenge' | 'welcome' | 'open'
+
+/** An authenticated link. */
+export interface OpenLink {
+  socket: Socket
+  frames: FrameStream
+  pending: Map<number, PendingRequest>
+}
+
+/**
+ * Authenticates a link on a socket that is connecting.
+ *
+ * @param socket - the socket
+ * @param options - both sides and the time limit
+ * @returns the link
+ * @throws RequestError `PeerUnavailable` with verdict `not-run`
+ */
+export async function openLink (
+  socket: Socket, { host, key, peer, connectTimeoutMs, onReply }: LinkOptions
+): Promise<OpenLink> {
+  return await new Promise((resolve, reject) => {
+    const nonce = createNonce()
+    const pending = new Map<number, PendingRequest>()
+    let stage: LinkStage = 'challenge'
+    const fail = (reason: string): void => {
+      clearTimeout(timer)
+      socket.destroy()
+      pending.forEach((request) => {
+        clearTimeout(request.timer)
+        request.reject(unavailable(peer, reason, 'may-have-run'))
+      })
+      pending.clear()
+      reject(unavailable(peer, reason, 'not-run'))
+    }
+    const timer = setTimeout(() => fail('no answer to the connection attempt'), connectTimeoutMs)
+    socket.on('error', (error) => fail(error.message))
+    socket.once('close', () => fail('the link was closed'))
+
+    const stages: Record<LinkStage, (value: unknown) => void> = {
+      challenge: (value) => {
+        const challenge = challengeSchema.parse(value)
+        frames.send({ type: 'hello', host, proof: proveKey(key, 'client', challenge.nonce, host), nonce })
+        stage = 'welcome'
+      },
+      welcome: (value) => {
+        const welcome = welcomeSchema.parse(value)
+        if (!sameProof(proveKey(key, 'server', nonce, welcome.host), welcome.proof)) {
+          fail('it does not know the key')
+          return
+        }
+        clearTimeout(timer)
+        frames.trust()
+        stage = 'open'
+        resolve(link)
+      },
+      open: (value) => onReply(link, replyFrameSchema.parse(value))
+    }
+    const frames = attachFrames(socket, (value) => stages[stage](value))
+    const link: OpenLink = { socket, frames, pending }
+  })
+}
+
+/**
+ * Builds the error for a peer that did not serve a request.
+ *
+ * @param peer - its address
+ * @param reason - why
+ * @param verdict - whether the request may have run
+ * @returns the error
+ */
+export function unavailable (peer: string, reason: string, verdict: Verdict): RequestError {
+  return new RequestError(verdict, 'PeerUnavailable', { peer, reason })
+}
--- a/src/peers/peer-client.ts
+++ b/src/peers/peer-client.ts
@@ -1,11 +1,10 @@
 /** The asking side of peer links: one link to each peer, many requests at a time. */
 import type { Socket } from 'node:net'
-import { RequestError, type ErrorDetails, type ErrorName, type Verdict } from '../core/errors/index.ts'
+import { RequestError, type ErrorDetails, type ErrorName } from '../core/errors/index.ts'
 import { TIMED_OUT, within } from '../core/time/deadline.ts'
 import { formatEndpoint, type Dialer, type Endpoint } from '../core/wire/dialer.ts'
-import { attachFrames, type FrameStream } from '../core/wire/frames.ts'
-import { createNonce, proveKey, sameProof } from './authentication.ts'
-import { challengeSchema, replyFrameSchema, welcomeSchema, type ReplyFrame } from './types.ts'
+import { openLink, unavailable, type OpenLink } from './open-link.ts'
+import type { ReplyFrame } from './types.ts'
 
 /** Options of {@link createPeerClient}. */
 interface PeerClientOptions {
@@ -56,23 +55,6 @@
  */
 const KEPT_LINKS = 160
 
-/** A request that waits for its answer. */
-interface PendingRequest {
-  resolve: (body: unknown) => void
-  reject: (error: RequestError) => void
-  timer: NodeJS.Timeout
-}
-
-/** How far the handshake of a link has come. */
-type LinkStage = 'challenge' | 'welcome' | 'open'
-
-/** An authenticated link. */
-interface OpenLink {
-  socket: Socket
-  frames: FrameStream
-  pending: Map<number, PendingRequest>
-}
-
 /** A link that is open or being opened. */
 interface KnownLink {
   opening: Promise<OpenLink>
@@ -93,27 +75,17 @@
   let nextId = 1
   let lateAnswers = 0
 
-  const takeReply = (link: OpenLink, reply: ReplyFrame): void => {
-    const pending = link.pending.get(reply.id)
-    if (pending === undefined) {
-      lateAnswers++
-      return
-    }
-    link.pending.delete(reply.id)
-    clearTimeout(pending.timer)
-    if (reply.failure === undefined) {
-      pending.resolve(reply.body)
-      return
-    }
-    const { verdict, entry, details } = reply.failure
-    pending.reject(new RequestError(verdict, entry as ErrorName, details as ErrorDetails<ErrorName>))
-  }
-
   const open = async (endpoint: Endpoint, name: string): Promise<OpenLink> => {
     const socket = options.dialer(endpoint)
     sockets.add(socket)
     socket.once('close', () => sockets.delete(socket))
-    return await authenticate(socket, { ...options, connectTimeoutMs }, name, takeReply)
+    return await openLink(socket, {
+      host: options.host,
+      key: options.key,
+      peer: name,
+      connectTimeoutMs,
+      onReply: (link, reply) => { lateAnswers += settle(link, reply) ? 0 : 1 }
+    })
   }
 
   const linkTo = (endpoint: Endpoint, name: string): KnownLink => {
@@ -164,7 +136,7 @@
       })
     },
     disconnect: (endpoint) => {
-      links.get(formatEndpoint(endpoint))?.opening.then(({ socket }) => socket.destroy(), () => {})
+      links.get(formatEndpoint(endpoint))?.opening.then(({ socket }) => socket.destroy(), ignoreFailedLink)
     },
     close: () => sockets.forEach((socket) => socket.destroy())
   }
@@ -172,6 +144,7 @@
 
 async function closeIdleLinks (links: Map<string, KnownLink>): Promise<void> {
   for (const { opening } of [...links.values()].slice(0, Math.max(0, links.size - KEPT_LINKS))) {
+    // A link that could not be opened has no connection to close; its requests have failed with the reason.
     const link = await opening.catch(() => undefined)
     if (link?.pending.size === 0) {
       link.socket.destroy()
@@ -179,53 +152,22 @@
   }
 }
 
-async function authenticate (
-  socket: Socket, { host, key, connectTimeoutMs }: PeerClientOptions, name: string,
-  takeReply: (link: OpenLink, reply: ReplyFrame) => void
-): Promise<OpenLink> {
-  return await new Promise((resolve, reject) => {
-    const nonce = createNonce()
-    const pending = new Map<number, PendingRequest>()
-    let stage: LinkStage = 'challenge'
-    const fail = (reason: string): void => {
-      clearTimeout(timer)
-      socket.destroy()
-      const verdict: Verdict = 'may-have-run'
-      pending.forEach((request) => {
-        clearTimeout(request.timer)
-        request.reject(unavailable(name, reason, verdict))
-      })
-      pending.clear()
-      reject(unavailable(name, reason, 'not-run'))
-    }
-    const timer = setTimeout(() => fail('no answer to the connection attempt'), connectTimeoutMs)
-    socket.on('error', (error) => fail(error.message))
-    socket.once('close', () => fail('the link was closed'))
-
-    const stages: Record<LinkStage, (value: unknown) => void> = {
-      challenge: (value) => {
-        const challenge = challengeSchema.parse(value)
-        frames.send({ type: 'hello', host, proof: proveKey(key, 'client', challenge.nonce, host), nonce })
-        stage = 'welcome'
-      },
-      welcome: (value) => {
-        const welcome = welcomeSchema.parse(value)
-        if (!sameProof(proveKey(key, 'server', nonce, welcome.host), welcome.proof)) {
-          fail('it does not know the key')
-          return
-        }
-        clearTimeout(timer)
-        frames.trust()
-        stage = 'open'
-        resolve(link)
-      },
-      open: (value) => takeReply(link, replyFrameSchema.parse(value))
-    }
-    const frames = attachFrames(socket, (value) => stages[stage](value))
-    const link: OpenLink = { socket, frames, pending }
-  })
-}
+/** A link that could not be opened needs no closing; its requests have failed with the reason. */
+function ignoreFailedLink (): void {}
 
-function unavailable (peer: string, reason: string, verdict: Verdict): RequestError {
-  return new RequestError(verdict, 'PeerUnavailable', { peer, reason })
+/** Settles the request that a reply belongs to; false when it has been given up. */
+function settle (link: OpenLink, { id, body, failure }: ReplyFrame): boolean {
+  const pending = link.pending.get(id)
+  if (pending === undefined) {
+    return false
+  }
+  link.pending.delete(id)
+  clearTimeout(pending.timer)
+  if (failure === undefined) {
+    pending.resolve(body)
+    return true
+  }
+  const { verdict, entry, details } = failure
+  pending.reject(new RequestError(verdict, entry as ErrorName, details as ErrorDetails<ErrorName>))
+  return true
 }
