--- a/src/emulation/embedded/deployment.ts
+++ b/src/emulation/embedded/deployment.ts
@@ -25,6 +25,8 @@
 const PEER_KEY = 'embedded-peer-key-0123456789'
 /** Time the deployment may take to elect its first primaries, in milliseconds. */
 const START_TIMEOUT_MS = 15_000
+/** Pause between two looks whether it is ready, in milliseconds. */
+const POLL_MS = 10
 
 /** Options of {@link startDeployment}. */
 export interface DeploymentOptions {
@@ -69,6 +71,19 @@
   close: () => Promise<void>
 }
 
+/** What the processes of a deployment share. */
+interface SharedParts {
+  network: Network
+  standins: Standins
+  logger: Logger
+  platform: PlatformAccess
+  /** Addresses of the processes that run, by which the next ones find them. */
+  seeds: string[]
+}
+
+/** Where the processes find the platform. */
+type PlatformAccess = ReturnType<typeof accessPlatform>
+
 /**
  * Starts a deployment.
  *
@@ -78,70 +93,26 @@
 export async function startDeployment (options: DeploymentOptions): Promise<Deployment> {
   const { sizes, logger = silentLogger } = options
   const network = createNetwork()
-  const standins = await startStandins(standinSettingsSchema.parse({
-    groups: Object.fromEntries(sizes.groups.map((group) => [group, {
-      ...pickUpstreamSizes(sizes),
-      account: EMBEDDED_ACCOUNT,
-      schema: EMBEDDED_SCHEMA,
-      upstreams: nameUpstreams(group, sizes)
-    }]))
-  }), logger)
-  const platformPort = Number(new URL(standins.platform.endpoint).port)
-  network.name(ADDRESS, platformPort, PLATFORM)
+  const standins = await startGroups(sizes, logger)
+  network.name(ADDRESS, Number(new URL(standins.platform.endpoint).port), PLATFORM)
   const declarations = declare(sizes, standins, network)
   options.adjust?.(declarations)
-  const platform = {
-    tableEndpoint: standins.platform.endpoint,
-    objectEndpoint: standins.platform.endpoint,
-    accessKey: 'worksward',
-    secretKey: 'worksward-secret',
-    pollMs: 500
-  }
+  const platform = accessPlatform(standins)
   await applyFirst(declarations, platform, network)
 
+  const shared: SharedParts = { network, standins, logger, platform, seeds: [] }
   const proxies: DeployedHost[] = []
   const keepers: DeployedHost[] = []
-  const seeds: string[] = []
-
-  const common = (name: string, failureDomain: string) => ({
-    host: { name, address: ADDRESS, failureDomain },
-    platform,
-    peers: { key: PEER_KEY, seeds: [...seeds], heartbeatMs: 100 },
-    operators: [
-      { name: 'operator', keyHash: hashOperatorKey(EMBEDDED_OPERATOR_KEY), rights: ['read' as const, 'change' as const] }
-    ],
-    log: { level: 'silent' as const }
-  })
-  const register = (host: DeployedHost, role: 'proxy' | 'keeper'): DeployedHost => {
-    const { port } = host.kernel.use('peers')
-    network.name(ADDRESS, port, host.name)
-    seeds.push(`${ADDRESS}:${port}`)
-    const { name, failureDomain } = host
-    standins.platform.setHost({ host: name, role, failureDomain, address: ADDRESS, port, state: 'live' })
-    return host
-  }
-
-  const launchProxy = async (name: string, failureDomain: string, callers = 0): Promise<DeployedHost> => {
-    const settings = proxySettingsSchema.parse({
-      ...common(name, failureDomain), listen: { callers, peers: 0, http: 0 }
-    })
-    const kernel = await startProxy(settings, { logger, dialer: network.dialerOf(name) })
-    const callerPort = kernel.use('callers').port
-    return register({ name, failureDomain, kernel, callerPort, httpPort: kernel.use('operators').port }, 'proxy')
-  }
   const addProxy = async (name: string, failureDomain: string): Promise<DeployedHost> => {
-    const host = await launchProxy(name, failureDomain)
+    const host = await launchProxy(shared, name, failureDomain)
     proxies.push(host)
     return host
   }
   const addKeeper = async (name: string, failureDomain: string): Promise<DeployedHost> => {
-    const settings = keeperSettingsSchema.parse({ ...common(name, failureDomain), listen: { peers: 0, http: 0 } })
-    const kernel = await startKeeper(settings, { logger, dialer: network.dialerOf(name) })
-    const host = { name, failureDomain, kernel, callerPort: 0, httpPort: kernel.use('operators').port }
-    keepers.push(register(host, 'keeper'))
+    const host = await launchKeeper(shared, name, failureDomain)
+    keepers.push(host)
     return host
   }
-
   const domainOf = (index: number): string => sizes.failureDomains[index % sizes.failureDomains.length]!
   for (let index = 0; index < sizes.proxies; index++) {
     await addProxy(`proxy-${index + 1}`, domainOf(index))
@@ -150,26 +121,6 @@
     await addKeeper(`keeper-${index + 1}`, domainOf(index))
   }
 
-  const findUpstream = (group: string, name: string): UpstreamServer => standins.groups.get(group)!.get(name)!
-  /** In the middle of a change of primary nobody leads; then it is whoever led last. */
-  const primaryOf = (group: string): UpstreamServer => {
-    const rank = ({ upstream }: UpstreamServer): number => {
-      const { role, term } = upstream.status()
-      return term + (role === 'primary' ? 0.5 : 0) + (upstream.status().primary === upstream.name ? 0.25 : 0)
-    }
-    return [...standins.groups.get(group)!.values()].sort((left, right) => rank(right) - rank(left))[0]!
-  }
-
-  const waitForPrimaries = async (): Promise<void> => {
-    const until = performance.now() + START_TIMEOUT_MS
-    while (!sizes.groups.every((group) => followersOf(standins, group) === sizes.upstreamsPerGroup - 1)) {
-      if (performance.now() > until) {
-        throw new Error('the deployment has not elected its primaries in time')
-      }
-      await pause(10)
-    }
-  }
-
   const deployment: Deployment = {
     network,
     standins,
@@ -180,27 +131,110 @@
     addKeeper,
     replaceProxy: async (index, callerPort) => {
       const { name, failureDomain } = proxies[index]!
-      proxies[index] = await launchProxy(`${name}-next`, failureDomain, callerPort)
+      proxies[index] = await launchProxy(shared, `${name}-next`, failureDomain, callerPort)
     },
     kill: async (host) => {
       network.isolate(host.name)
       await host.kernel.close()
     },
-    upstream: findUpstream,
-    primaryOf,
-    waitForPrimaries,
+    upstream: (group, name) => standins.groups.get(group)!.get(name)!,
+    primaryOf: (group) => findPrimary(standins, group),
+    waitForPrimaries: async () => await waitForPrimaries(standins, sizes),
     close: async () => {
       await Promise.all([...proxies, ...keepers].map(async ({ kernel }) => await kernel.close()))
       await standins.close()
     }
   }
   if (options.waitForPrimaries !== false) {
-    await waitForPrimaries()
+    await waitForPrimaries(standins, sizes)
     await waitUntilReady(deployment)
   }
   return deployment
 }
 
+async function startGroups (sizes: DeploymentSizes, logger: Logger): Promise<Standins> {
+  return await startStandins(standinSettingsSchema.parse({
+    groups: Object.fromEntries(sizes.groups.map((group) => [group, {
+      ...pickUpstreamSizes(sizes),
+      account: EMBEDDED_ACCOUNT,
+      schema: EMBEDDED_SCHEMA,
+      upstreams: nameUpstreams(group, sizes)
+    }]))
+  }), logger)
+}
+
+function accessPlatform ({ platform }: Standins) {
+  return {
+    tableEndpoint: platform.endpoint,
+    objectEndpoint: platform.endpoint,
+    accessKey: 'worksward',
+    secretKey: 'worksward-secret',
+    pollMs: 500
+  }
+}
+
+/** Settings that proxies and keepers have in common. */
+function commonSettings ({ platform, seeds }: SharedParts, name: string, failureDomain: string) {
+  return {
+    host: { name, address: ADDRESS, failureDomain },
+    platform,
+    peers: { key: PEER_KEY, seeds: [...seeds], heartbeatMs: 100 },
+    operators: [
+      { name: 'operator', keyHash: hashOperatorKey(EMBEDDED_OPERATOR_KEY), rights: ['read' as const, 'change' as const] }
+    ],
+    log: { level: 'silent' as const }
+  }
+}
+
+async function launchProxy (
+  shared: SharedParts, name: string, failureDomain: string, callers = 0
+): Promise<DeployedHost> {
+  const settings = proxySettingsSchema.parse({
+    ...commonSettings(shared, name, failureDomain), listen: { callers, peers: 0, http: 0 }
+  })
+  const kernel = await startProxy(settings, { logger: shared.logger, dialer: shared.network.dialerOf(name) })
+  const callerPort = kernel.use('callers').port
+  return register(shared, { name, failureDomain, kernel, callerPort, httpPort: kernel.use('operators').port }, 'proxy')
+}
+
+async function launchKeeper (shared: SharedParts, name: string, failureDomain: string): Promise<DeployedHost> {
+  const settings = keeperSettingsSchema.parse({
+    ...commonSettings(shared, name, failureDomain), listen: { peers: 0, http: 0 }
+  })
+  const kernel = await startKeeper(settings, { logger: shared.logger, dialer: shared.network.dialerOf(name) })
+  const httpPort = kernel.use('operators').port
+  return register(shared, { name, failureDomain, kernel, callerPort: 0, httpPort }, 'keeper')
+}
+
+/** Puts a process that has started on the network and on the platform's list of hosts. */
+function register ({ network, standins, seeds }: SharedParts, host: DeployedHost, role: 'proxy' | 'keeper'): DeployedHost {
+  const { port } = host.kernel.use('peers')
+  network.name(ADDRESS, port, host.name)
+  seeds.push(`${ADDRESS}:${port}`)
+  const { name, failureDomain } = host
+  standins.platform.setHost({ host: name, role, failureDomain, address: ADDRESS, port, state: 'live' })
+  return host
+}
+
+/** In the middle of a failover no upstream leads; then it is the one that led last. */
+function findPrimary (standins: Standins, group: string): UpstreamServer {
+  const rank = ({ upstream }: UpstreamServer): number => {
+    const { role, term } = upstream.status()
+    return term + (role === 'primary' ? 0.5 : 0) + (upstream.status().primary === upstream.name ? 0.25 : 0)
+  }
+  return [...standins.groups.get(group)!.values()].sort((left, right) => rank(right) - rank(left))[0]!
+}
+
+async function waitForPrimaries (standins: Standins, sizes: DeploymentSizes): Promise<void> {
+  const until = performance.now() + START_TIMEOUT_MS
+  while (!sizes.groups.every((group) => followersOf(standins, group) === sizes.upstreamsPerGroup - 1)) {
+    if (performance.now() > until) {
+      throw new Error('the deployment has not elected its primaries in time')
+    }
+    await pause(POLL_MS)
+  }
+}
+
 function followersOf (standins: Standins, group: string): number {
   const statuses = [...standins.groups.get(group)!.values()].map(({ upstream }) => upstream.status())
   const primary = statuses.find(({ role, term, fencedTerm }) => role === 'primary' && fencedTerm === term)
@@ -215,7 +249,7 @@
     if (performance.now() > until) {
       throw new Error('the proxies have not become ready in time')
     }
-    await pause(10)
+    await pause(POLL_MS)
   }
 }
 
--- a/src/emulation/load/operations.ts
+++ b/src/emulation/load/operations.ts
@@ -75,6 +75,7 @@
           }
           await caller.query('UPDATE registers SET value = value + 1 WHERE name = ?', [to])
         } catch (thrown) {
+          // The first failure is what is reported; a connection that cannot roll back is not used again.
           await caller.query('ROLLBACK').catch(() => caller.close())
           throw asNotRun(thrown)
         }
--- a/src/emulation/standin/platform-server.ts
+++ b/src/emulation/standin/platform-server.ts
@@ -62,7 +62,7 @@
   const counts: PlatformCounts = { reads: 0, writes: 0, throttled: 0 }
   const takeRead = createTokens(options.readsPerSecond)
   const takeWrite = createTokens(options.writesPerSecond)
-  const timers = new Set<NodeJS.Timeout>()
+  const hostChanges = createDelayedChanges(() => faults.hostsLagMs)
 
   const callTable = (operation: string, body: Buffer): TableAnswer => {
     const writes = table.writes(operation)
@@ -77,12 +77,24 @@
     return table.call(operation, JSON.parse(body.toString()))
   }
 
-  const serve = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
-    const chunks: Buffer[] = []
-    for await (const chunk of request) {
-      chunks.push(chunk as Buffer)
+  const serveTable = (target: string, body: Buffer, request: IncomingMessage, response: ServerResponse): void => {
+    const name = target.split('.')[1] ?? ''
+    const answer = callTable(name, body)
+    if (table.writes(name) && faults.loseWriteAnswers > 0) {
+      faults.loseWriteAnswers--
+      request.socket.destroy()
+      return
     }
-    const body = Buffer.concat(chunks)
+    response.writeHead(answer.status, { 'content-type': 'application/x-amz-json-1.0' })
+    response.end(JSON.stringify(answer.body))
+  }
+  const serveObjects = (body: Buffer, request: IncomingMessage, response: ServerResponse): void => {
+    const url = new URL(request.url ?? '/', 'http://standin')
+    const answer = objects.call(request.method ?? 'GET', url, body)
+    response.writeHead(answer.status, { 'content-type': answer.contentType }).end(answer.body)
+  }
+  const serve = async (request: IncomingMessage, response: ServerResponse): Promise<void> => {
+    const body = await readBody(request)
     if (faults.slowMs > 0) {
       await sleep(faults.slowMs)
     }
@@ -94,51 +106,29 @@
       response.writeHead(403).end()
       return
     }
-    const operation = request.headers['x-amz-target']
-    if (typeof operation === 'string') {
-      const name = operation.split('.')[1] ?? ''
-      const answer = callTable(name, body)
-      if (table.writes(name) && faults.loseWriteAnswers > 0) {
-        faults.loseWriteAnswers--
-        request.socket.destroy()
-        return
-      }
-      response.writeHead(answer.status, { 'content-type': 'application/x-amz-json-1.0' })
-      response.end(JSON.stringify(answer.body))
-      return
-    }
-    const url = new URL(request.url ?? '/', 'http://standin')
-    const answer = objects.call(request.method ?? 'GET', url, body)
-    response.writeHead(answer.status, { 'content-type': answer.contentType }).end(answer.body)
+    const target = request.headers['x-amz-target']
+    typeof target === 'string'
+      ? serveTable(target, body, request, response)
+      : serveObjects(body, request, response)
   }
 
   const server = createServer((request, response) => {
+    // A request that cannot be served breaks its connection, as a faulty service would; the client reports it.
     serve(request, response).catch(() => request.socket.destroy())
   })
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
     server.listen(options.port, options.address, resolve)
   })
-  const later = (change: () => void): void => {
-    if (faults.hostsLagMs === 0) {
-      change()
-      return
-    }
-    const timer = setTimeout(() => {
-      timers.delete(timer)
-      change()
-    }, faults.hostsLagMs)
-    timers.add(timer)
-  }
 
   return {
     endpoint: `http://${options.address}:${(server.address() as AddressInfo).port}`,
     faults,
     counts,
-    setHost: (row) => later(() => table.put(PARTITIONS.hosts, row.host, JSON.stringify(row))),
-    removeHost: (host) => later(() => table.remove(PARTITIONS.hosts, host)),
+    setHost: (row) => hostChanges.make(() => table.put(PARTITIONS.hosts, row.host, JSON.stringify(row))),
+    removeHost: (host) => hostChanges.make(() => table.remove(PARTITIONS.hosts, host)),
     close: async () => {
-      timers.forEach((timer) => clearTimeout(timer))
+      hostChanges.close()
       const closed = new Promise<void>((resolve) => server.close(() => resolve()))
       server.closeAllConnections()
       await closed
@@ -146,6 +136,39 @@
   }
 }
 
+async function readBody (request: IncomingMessage): Promise<Buffer> {
+  const chunks: Buffer[] = []
+  for await (const chunk of request) {
+    chunks.push(chunk as Buffer)
+  }
+  return Buffer.concat(chunks)
+}
+
+/** Changes that show only after a delay. */
+interface DelayedChanges {
+  make: (change: () => void) => void
+  /** Drops the changes that are still to come. */
+  close: () => void
+}
+
+function createDelayedChanges (delayMs: () => number): DelayedChanges {
+  const timers = new Set<NodeJS.Timeout>()
+  return {
+    make: (change) => {
+      if (delayMs() === 0) {
+        change()
+        return
+      }
+      const timer = setTimeout(() => {
+        timers.delete(timer)
+        change()
+      }, delayMs())
+      timers.add(timer)
+    },
+    close: () => timers.forEach((timer) => clearTimeout(timer))
+  }
+}
+
 /** The stand-in checks that the access key is known; it leaves the signature to the real service. */
 function isKnownCaller (request: IncomingMessage, accessKeys: Record<string, string>): boolean {
   const match = /Credential=([^/]+)\//.exec(request.headers.authorization ?? '')
