--- a/src/emulation/standin/upstream.ts
+++ b/src/emulation/standin/upstream.ts
@@ -5,7 +5,8 @@
 import type { UpstreamStatus } from '../../mysql-proxy/upstreams/status.ts'
 import { ChangeSignal } from './change-signal.ts'
 import { isReadStatement, openDatabase, type Database } from './database.ts'
-import type { UpstreamTransaction } from './upstream-transaction.ts'
+import { Replication, type ReplicationSource } from './replication.ts'
+import { openTransaction, type UpstreamTransaction } from './upstream-transaction.ts'
 import { ExclusiveAccess } from './exclusive-access.ts'
 import { ReplicationLog } from './replication-log.ts'
 import { LEDGER_SCHEMA } from './ledger-schema.ts'
@@ -26,9 +27,6 @@
   logger?: Logger
 }
 
-/** Time after which a follower tries again to reach its primary, in milliseconds. */
-const RECONNECT_MS = 5
-
 /**
  * A database server of a group. Its state outlives crashes, as a disk would make it.
  */
@@ -57,9 +55,18 @@
   private readonly logger: Logger
   private readonly followers = new Set<Upstream>()
   private readonly changes = new ChangeSignal()
-  private pumpTimer: NodeJS.Timeout | undefined
-  private pumping = false
-  private closed = false
+  private readonly replication = new Replication({
+    log: this.log,
+    lagMs: () => this.lag,
+    isPrimary: () => this.role === 'primary',
+    findSource: () => this.findSource(),
+    database: () => this.database,
+    replaceDatabase: (database) => { this.database = database },
+    exclusively: async (work) => await this.exclusively(work),
+    onChange: () => this.changes.notify(),
+    onDiscarded: (records) => this.noteDiscarded(records)
+  })
+
   private readonly access = new ExclusiveAccess()
   /** Whether a client's transaction is open on the database. */
   private inTransaction = false
@@ -155,7 +162,7 @@
     this.primary = primary
     this.options.findPeer(primary)?.followers.add(this)
     this.changes.notify()
-    this.schedulePump(0)
+    this.replication.schedule(0)
     return true
   }
 
@@ -182,45 +189,21 @@
    */
   async begin (): Promise<UpstreamTransaction> {
     const release = await this.acquire()
-    const changes: Statement[] = []
-    const term = this.term
-    let open = true
-    this.database.run({ sql: 'BEGIN' })
-    this.inTransaction = true
-    const end = (sql: string): void => {
-      open = false
-      this.inTransaction = false
-      try {
-        this.database.run({ sql })
-      } finally {
-        release()
-      }
-    }
-    return {
-      run: (statement) => {
-        const answer = this.database.run(statement)
-        if (!isReadStatement(statement.sql)) {
-          changes.push(statement)
-        }
-        return answer
-      },
-      commit: () => {
-        if (changes.length > 0 && (this.role !== 'primary' || this.term !== term)) {
-          end('ROLLBACK')
-          throw new Error('the upstream is read-only: it is no longer the primary')
-        }
-        end('COMMIT')
+    const { term } = this
+    const transaction = openTransaction({
+      database: this.database,
+      mayKeep: () => this.role === 'primary' && this.term === term,
+      onCommit: (changes) => {
         if (changes.length > 0) {
           this.append(changes)
         }
         return this.log.end
       },
-      rollback: () => {
-        if (open) {
-          end('ROLLBACK')
-        }
-      }
-    }
+      onEnd: () => { this.inTransaction = false },
+      release
+    })
+    this.inTransaction = true
+    return transaction
   }
 
   /**
@@ -234,22 +217,19 @@
 
   /** Applies what has arrived; called again when a fault ends. */
   resume (): void {
-    clearTimeout(this.pumpTimer)
-    this.pumpTimer = undefined
-    this.schedulePump(0)
+    this.replication.restart()
   }
 
   /** Frees the database. */
   close (): void {
-    this.closed = true
-    clearTimeout(this.pumpTimer)
+    this.replication.close()
     void this.exclusively(async () => this.database.close())
   }
 
   private append (statements: Statement[]): void {
     this.log.append(this.term, statements)
     this.changes.notify()
-    this.followers.forEach((follower) => follower.schedulePump(follower.lagMs))
+    this.followers.forEach((follower) => follower.replication.schedule(follower.lagMs))
   }
 
   private stopLeading (): void {
@@ -263,6 +243,26 @@
     this.options.findPeer(this.primary)?.followers.delete(this)
   }
 
+  /** The primary that this upstream follows, as far as it may apply its records now. */
+  private findSource (): ReplicationSource {
+    const source = this.options.findPeer(this.primary)
+    if (source === undefined || this.paused || this.crashed || this.term < this.fencedTerm) {
+      return 'none'
+    }
+    if (source.crashed || source.paused || !this.options.reachable(this.name, source.name)) {
+      return 'unreachable'
+    }
+    if (source.term !== this.term) {
+      return 'none'
+    }
+    return { log: source.log, snapshot: () => source.inTransaction ? undefined : source.database.snapshot() }
+  }
+
+  private noteDiscarded (records: number): void {
+    this.discardedRecords += records
+    this.logger.log('warn', 'standin.tail-discarded', { upstream: this.name, records })
+  }
+
   private async acquire (): Promise<() => void> {
     const release = await this.access.acquire()
     this.lockUnlessLeading()
@@ -282,99 +282,6 @@
       this.database.setReadOnly(true)
     }
   }
-
-  private schedulePump (delayMs: number): void {
-    if (this.pumpTimer !== undefined || this.closed) {
-      return
-    }
-    this.pumpTimer = setTimeout(() => {
-      this.pumpTimer = undefined
-      void this.pump()
-    }, delayMs)
-  }
-
-  /** Applies the records that have arrived, in order, each once its lag has passed. */
-  private async pump (): Promise<void> {
-    if (this.pumping || this.role === 'primary' || this.closed) {
-      return
-    }
-    this.pumping = true
-    try {
-      const waitMs = await this.exclusively(async () => await this.applyArrived())
-      if (waitMs !== undefined) {
-        this.schedulePump(waitMs)
-      }
-    } finally {
-      this.pumping = false
-    }
-  }
-
-  /** Returns when to look again, in milliseconds, or undefined when the next change will say so. */
-  private async applyArrived (): Promise<number | undefined> {
-    const source = this.options.findPeer(this.primary)
-    if (source === undefined || this.paused || this.crashed || this.term < this.fencedTerm) {
-      return undefined
-    }
-    if (source.crashed || source.paused || !this.options.reachable(this.name, source.name)) {
-      return RECONNECT_MS
-    }
-    if (source.term !== this.term) {
-      return undefined
-    }
-    if (!source.log.continues(this.log.end)) {
-      return await this.takeSnapshot(source)
-    }
-    return await this.applyRecords(source)
-  }
-
-  private async applyRecords (source: Upstream): Promise<number | undefined> {
-    this.database.setReadOnly(false)
-    try {
-      while (this.log.end.position < source.log.end.position) {
-        const record = source.log.after(this.log.end.position)
-        if (record === undefined) {
-          return await this.takeSnapshot(source)
-        }
-        const dueInMs = record.writtenAt + this.lagMs - performance.now()
-        if (dueInMs > 0) {
-          return Math.max(1, dueInMs)
-        }
-        this.applyRecord(record.statements)
-        this.log.take(record)
-      }
-    } finally {
-      this.database.setReadOnly(true)
-      this.changes.notify()
-    }
-    return undefined
-  }
-
-  private applyRecord (statements: Statement[]): void {
-    if (statements.length === 1) {
-      this.database.run(statements[0]!)
-      return
-    }
-    this.database.run({ sql: 'BEGIN' })
-    statements.forEach((statement) => this.database.run(statement))
-    this.database.run({ sql: 'COMMIT' })
-  }
-
-  private async takeSnapshot (source: Upstream): Promise<number> {
-    if (source.inTransaction) {
-      return 1
-    }
-    const discarded = Math.max(0, this.log.end.position - source.log.end.position)
-    this.discardedRecords += discarded
-    this.logger.log('warn', 'standin.tail-discarded', { upstream: this.name, records: discarded })
-    const content = source.database.snapshot()
-    const previous = this.database
-    this.log.copyFrom(source.log)
-    this.database = await openDatabase(content)
-    this.database.setReadOnly(true)
-    previous.close()
-    this.changes.notify()
-    return 0
-  }
 }
 
 /**
