--- a/src/metrics/index.ts
+++ b/src/metrics/index.ts
@@ -1,8 +1,7 @@
 /** Plug-in `metrics`: times of requests in histograms, shown as Prometheus text and in dumps. */
 import { Gauge, Registry } from 'prom-client'
-import { build, type Histogram } from 'hdr-histogram-js'
 import { registerPlugin } from '../core/kernel/index.ts'
-import { createTiming, OTHER_LABEL, type Timing } from './timings.ts'
+import { createHistogram, createTiming, OTHER_LABEL, readQuantiles, recordTime, type Timing } from './timings.ts'
 
 /** Service of the plug-in. */
 export interface Metrics {
@@ -46,9 +45,6 @@
 
 /** Labels that one counter may have. */
 const MAXIMUM_COUNTED_LABELS = 64
-const QUANTILES = [50, 90, 99, 99.9]
-const MICROSECONDS = 1000
-const HIGHEST_MICROSECONDS = 60_000_000
 
 registerPlugin({
   name: 'metrics',
@@ -56,11 +52,8 @@
   start: () => {
     const registry = new Registry()
     const outcomes = new Map<string, number>()
-    const histogram: Histogram = build({
-      lowestDiscernibleValue: 1, highestTrackableValue: HIGHEST_MICROSECONDS, numberOfSignificantValueDigits: 2
-    })
-    const readQuantiles = (): Record<string, number> => Object.fromEntries(
-      QUANTILES.map((quantile) => [String(quantile / 100), histogram.getValueAtPercentile(quantile) / MICROSECONDS]))
+    const histogram = createHistogram(2)
+    const readRequestTimes = (): Record<string, number> => Object.fromEntries(readQuantiles(histogram))
 
     const expose: Metrics['expose'] = (name, help, read) => {
       const gauge = new Gauge({
@@ -87,7 +80,7 @@
         counts.set(bounded, (counts.get(bounded) ?? 0) + 1)
       }
     }
-    expose('worksward_request_milliseconds', 'Time of callers\' requests, by quantile', readQuantiles)
+    expose('worksward_request_milliseconds', 'Time of callers\' requests, by quantile', readRequestTimes)
     expose('worksward_requests', 'Callers\' requests, by outcome', () => Object.fromEntries(outcomes))
 
     return {
@@ -98,10 +91,10 @@
         count,
         recordRequest: (outcome, durationMs) => {
           outcomes.set(outcome, (outcomes.get(outcome) ?? 0) + 1)
-          histogram.recordValue(Math.min(HIGHEST_MICROSECONDS, Math.max(1, Math.round(durationMs * MICROSECONDS))))
+          recordTime(histogram, durationMs)
         }
       },
-      dump: () => ({ requests: Object.fromEntries(outcomes), milliseconds: readQuantiles() })
+      dump: () => ({ requests: Object.fromEntries(outcomes), milliseconds: readRequestTimes() })
     }
   }
 })
--- a/src/metrics/timings.ts
+++ b/src/metrics/timings.ts
@@ -5,10 +5,46 @@
 const MAXIMUM_LABELS = 32
 /** Stands for labels beyond the bound. */
 export const OTHER_LABEL = 'other'
-const MICROSECONDS = 1000
+/** Times are kept in microseconds, up to a minute; longer ones count as a minute. */
+const MICROSECONDS_PER_MS = 1000
 const HIGHEST_MICROSECONDS = 60_000_000
+/** Quantiles that are shown, in percent. */
 const QUANTILES = [50, 90, 99, 99.9]
 
+/**
+ * Creates a histogram of times.
+ *
+ * @param digits - significant digits that are kept
+ * @returns the histogram, in microseconds
+ */
+export function createHistogram (digits: 1 | 2): Histogram {
+  return build({
+    lowestDiscernibleValue: 1, highestTrackableValue: HIGHEST_MICROSECONDS, numberOfSignificantValueDigits: digits
+  })
+}
+
+/**
+ * Records a time in a histogram.
+ *
+ * @param histogram - the histogram
+ * @param durationMs - the time, in milliseconds
+ */
+export function recordTime (histogram: Histogram, durationMs: number): void {
+  const microseconds = Math.round(durationMs * MICROSECONDS_PER_MS)
+  histogram.recordValue(Math.min(HIGHEST_MICROSECONDS, Math.max(1, microseconds)))
+}
+
+/**
+ * Reads the quantiles that are shown.
+ *
+ * @param histogram - the histogram
+ * @returns the quantile, from 0 to 1, and its time in milliseconds
+ */
+export function readQuantiles (histogram: Histogram): Array<[string, number]> {
+  return QUANTILES.map((quantile) =>
+    [String(quantile / 100), histogram.getValueAtPercentile(quantile) / MICROSECONDS_PER_MS])
+}
+
 /** Times of one kind of thing. */
 export interface Timing {
   /**
@@ -37,21 +73,15 @@
     if (histograms.size >= MAXIMUM_LABELS && label !== OTHER_LABEL) {
       return histogramOf(OTHER_LABEL)
     }
-    const created = build({
-      lowestDiscernibleValue: 1, highestTrackableValue: HIGHEST_MICROSECONDS, numberOfSignificantValueDigits: 1
-    })
+    const created = createHistogram(1)
     histograms.set(label, created)
     return created
   }
   return {
-    record: (label, durationMs) => {
-      const microseconds = Math.round(durationMs * MICROSECONDS)
-      histogramOf(label).recordValue(Math.min(HIGHEST_MICROSECONDS, Math.max(1, microseconds)))
-    },
+    record: (label, durationMs) => recordTime(histogramOf(label), durationMs),
     read: () => Object.fromEntries([...histograms].flatMap(([label, histogram]) => [
       [`${label} count`, histogram.totalCount],
-      ...QUANTILES.map((quantile) =>
-        [`${label} ${quantile / 100}`, histogram.getValueAtPercentile(quantile) / MICROSECONDS])
+      ...readQuantiles(histogram).map(([quantile, durationMs]) => [`${label} ${quantile}`, durationMs])
     ]))
   }
 }
--- a/test/platform/http-client.test.ts
+++ b/test/platform/http-client.test.ts
@@ -3,7 +3,7 @@
 import { connect, type AddressInfo, type Socket } from 'node:net'
 import { afterEach, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { createHttpClient, type HttpClient } from '../../platform/store-client.ts'
+import { createHttpClient, type HttpClient } from '../../platform/http-client.ts'
 
 /** Time after which the client of these tests gives up, in milliseconds; the server is on this machine. */
 const TIMEOUT_MS = 200
--- a/test/platform/store-client.test.ts
+++ b/test/platform/store-client.test.ts
@@ -2,7 +2,8 @@
 import { expect } from 'earl'
 import { createPromotion } from '../../platform/promotion-client.ts'
 import { desiredState, directory } from '../../platform/rows.ts'
-import { createStore, type HttpAnswer, type HttpCall, type HttpClient } from '../../platform/store-client.ts'
+import type { HttpAnswer, HttpCall, HttpClient } from '../../platform/http-client.ts'
+import { createStore } from '../../platform/store-client.ts'
 
 const encode = (text: string): string => Buffer.from(text).toString('base64')
 
