--- a/test/docs/paths.test.ts
+++ b/test/docs/paths.test.ts
@@ -100,7 +100,7 @@
       '/**',
       ' * Described in docs/DESIGN.md, docs/GONE.md.',
       ' */',
-      'const path = \'src/gone.ts\' // as in src/other.ts',
+      'const path = \'src/gone.ts\' /' + '/ as in src/other.ts',
       'import \'../../src/gone.ts\''
     ].join('\n')
     expect(missingPaths('src/core/random.ts', code, exists)).toEqual([
