--- a/src/peers/open-link.ts
+++ b/src/peers/open-link.ts
@@ -3,6 +3,7 @@
 import { RequestError, type Verdict } from '../core/errors/index.ts'
 import { attachFrames, type FrameStream } from '../core/wire/frames.ts'
 import { createNonce, proveKey, sameProof } from './authentication.ts'
+import { PeerNotRunning } from './refusal.ts'
 import { challengeSchema, replyFrameSchema, welcomeSchema, type ReplyFrame } from './types.ts'
 
 /** Options of {@link openLink}. */
@@ -21,7 +22,7 @@
 /** A request that waits for its answer. */
 interface PendingRequest {
   resolve: (body: unknown) => void
-  reject: (error: RequestError) => void
+  reject: (error: Error) => void
   timer: NodeJS.Timeout
 }
 
@@ -50,7 +51,7 @@
     const nonce = createNonce()
     const pending = new Map<number, PendingRequest>()
     let stage: LinkStage = 'challenge'
-    const fail = (reason: string): void => {
+    const fail = (reason: string, error = unavailable(peer, reason, 'not-run')): void => {
       clearTimeout(timer)
       socket.destroy()
       pending.forEach((request) => {
@@ -58,10 +59,10 @@
         request.reject(unavailable(peer, reason, 'may-have-run'))
       })
       pending.clear()
-      reject(unavailable(peer, reason, 'not-run'))
+      reject(error)
     }
     const timer = setTimeout(() => fail('no answer to the connection attempt'), connectTimeoutMs)
-    socket.on('error', (error) => fail(error.message))
+    socket.on('error', (error) => fail(error.message, connectionError(peer, error)))
     socket.once('close', () => fail('the link was closed'))
 
     const stages: Record<LinkStage, (value: unknown) => void> = {
@@ -88,6 +89,10 @@
   })
 }
 
+function connectionError (peer: string, { code, message }: NodeJS.ErrnoException): RequestError<'PeerUnavailable'> {
+  return code === 'ECONNREFUSED' ? new PeerNotRunning(peer, message) : unavailable(peer, message, 'not-run')
+}
+
 /**
  * Builds the error for a peer that did not serve a request.
  *
@@ -96,6 +101,6 @@
  * @param verdict - whether the request may have run
  * @returns the error
  */
-export function unavailable (peer: string, reason: string, verdict: Verdict): RequestError {
+export function unavailable (peer: string, reason: string, verdict: Verdict): RequestError<'PeerUnavailable'> {
   return new RequestError(verdict, 'PeerUnavailable', { peer, reason })
 }
--- a/src/peers/refusal.ts
+++ b/src/peers/refusal.ts
@@ -1,6 +1,13 @@
-/** What a failed request to a peer tells of it. */
+/** Tells a peer that does not run from one that does not answer. */
 import { RequestError } from '../core/errors/index.ts'
 
+/** The peer's address refused the connection: no process listens there. Nothing was sent. */
+export class PeerNotRunning extends RequestError<'PeerUnavailable'> {
+  constructor (peer: string, reason: string) {
+    super('not-run', 'PeerUnavailable', { peer, reason })
+  }
+}
+
 /**
  * Says whether a failed request to a peer shows that no process listens there.
  *
@@ -8,5 +15,5 @@
  * @returns whether the connection was refused
  */
 export function isRefusal (thrown: unknown): boolean {
-  return thrown instanceof RequestError && thrown.verdict === 'not-run' && thrown.message.includes('ECONNREFUSED')
+  return thrown instanceof PeerNotRunning
 }
