--- a/src/entry/pools/statement-queue.ts
+++ b/src/entry/pools/statement-queue.ts
@@ -1,27 +1,37 @@
 /**
- * Lets statements go to an upstream a few at a time, and queues the rest here. An upstream runs what it gets in the
- * order in which it came; what waits here goes by urgency, then by how long it is expected to take: with more work than
- * an upstream can do, more callers are served in time when short statements go first. Who can't be served in time is
- * refused as soon as that is known.
+ * Whose turn it is at an upstream, and which request is refused at once with which Retry-After.
+ *
+ * Inputs: the upstream's slots (statements that it runs at a time) and its homes; of each statement its priority (0
+ * goes first), its expected time at the upstream and its greatest wait, both in milliseconds.
+ * Rule: a home lets its part of {@link IN_PROGRESS_PER_SLOT} statements for each slot go to the upstream, and
+ * {@link LEAST_IN_PROGRESS} at least; the others wait here by priority, then by expected time. A request whose expected
+ * wait is longer than its greatest wait is refused at once, with the difference as the time after which to come back;
+ * one that has waited for its greatest wait is refused with that time.
+ * Why: an upstream runs what it gets in the order of arrival. With more work than it can do, more callers are served in
+ * time when short statements go first, and a request that cannot be served in time may still be served elsewhere.
  */
 import PQueue from 'p-queue'
 import { RequestError } from '../../core/errors/index.ts'
+import { createBoundedWait } from '../../core/time/bounded-wait.ts'
 
 /**
- * Statements in progress at an upstream for each that it can run at a time: with less, a slot would stand idle while
- * an answer and the next statement are on their way.
+ * Statements in progress at an upstream for each that it can run at a time: with less, a slot would be idle while an
+ * answer and the next statement are on their way. Derived: one that runs and one on its way.
  */
 const IN_PROGRESS_PER_SLOT = 2
 /**
  * Statements that each home may have in progress at least: with one, what comes to a home waits there while another
- * home has nothing to send. On 71 hosts with six homes for three slots, 4.3% of changes were late with one, 1.3%
- * without a limit.
+ * home has nothing to send. Measured: on 71 hosts with six homes for three slots, 4.3% of changes were late with one,
+ * 1.3% without a limit.
  */
 const LEAST_IN_PROGRESS = 2
-/** Weight of a step of priority against the expected time of a statement, in milliseconds: priority goes first. */
+/**
+ * Weight of a step of priority against the expected time of a statement, in milliseconds. Derived: longer than any
+ * statement, so that priority goes first.
+ */
 const PRIORITY_WEIGHT_MS = 1_000_000
 
-/** What a gate lets through. */
+/** What bounds the statements in progress. */
 interface QueueLimits {
   /** Statements that the upstream runs at a time. */
   slots: number
@@ -29,7 +39,7 @@
   homes: number
 }
 
-/** Who wants to go through. */
+/** A statement that is to run. */
 interface QueueRequest {
   /** 0 goes first. */
   priority: number
@@ -39,7 +49,7 @@
   waitMs: number
 }
 
-/** The gate of one upstream. */
+/** Statements that wait for one upstream. */
 export interface StatementQueue {
   readonly running: number
   readonly waiting: number
@@ -53,8 +63,8 @@
   enter: (request: QueueRequest) => Promise<() => void>
 }
 
-/** Someone who waits. */
-interface Waiting {
+/** A statement that waits. */
+interface WaitingStatement {
   rank: number
   costMs: number
 }
@@ -72,45 +82,44 @@
 }
 
 /**
- * Creates a gate.
+ * Creates the queue of an upstream.
  *
- * @param options - the upstream, its group and the limits, asked at each entry
- * @returns the gate
+ * @param options - the upstream, its group and the limits, evaluated at each entry
+ * @returns the queue; nothing waits yet
  */
 export function createStatementQueue (
   options: { group: string, upstream: string, limits: () => QueueLimits }
 ): StatementQueue {
   const { group, upstream } = options
   const queue = new PQueue({ concurrency: 1 })
-  const waiting = new Set<Waiting>()
+  const waiting = new Set<WaitingStatement>()
 
   const overloaded = (reason: string, retryAfterMs: number): RequestError =>
     new RequestError('not-run', 'Overloaded', { group, reason, retryAfterMs: Math.ceil(retryAfterMs) })
-  const waitForTurn = async (request: QueueRequest, own: Waiting): Promise<() => void> =>
-    await new Promise((resolve, reject) => {
-      let isOver = false
-      const timer = setTimeout(() => {
-        isOver = true
+  const waitForTurn = async (request: QueueRequest, own: WaitingStatement): Promise<() => void> => {
+    const turn = createBoundedWait<() => void>({
+      timeoutMs: request.waitMs,
+      onTimeout: () => {
         waiting.delete(own)
-        reject(overloaded(`${upstream} was busy for ${Math.round(request.waitMs)} ms`, request.waitMs))
-      }, request.waitMs)
-      void queue.add(async () => {
-        if (isOver) {
-          return
-        }
-        clearTimeout(timer)
-        waiting.delete(own)
-        await new Promise<void>((_resolve) => { resolve(_resolve) })
-      }, { priority: -own.rank })
+        return overloaded(`${upstream} was busy for ${Math.round(request.waitMs)} ms`, request.waitMs)
+      }
     })
+    void queue.add(async () => {
+      if (turn.isOver) {
+        return
+      }
+      waiting.delete(own)
+      await new Promise<void>((_resolve) => turn.serve(_resolve))
+    }, { priority: -own.rank })
+    return await turn.result
+  }
   return {
     get running () { return queue.pending },
     get waiting () { return waiting.size },
     enter: async (request) => {
       const limits = options.limits()
-      const share = Math.ceil(limits.slots * IN_PROGRESS_PER_SLOT / Math.max(1, limits.homes))
-      queue.concurrency = Math.max(LEAST_IN_PROGRESS, share)
-      const own: Waiting = { rank: request.priority * PRIORITY_WEIGHT_MS + request.costMs, costMs: request.costMs }
+      queue.concurrency = inProgressOf(limits)
+      const own = { rank: rankOf(request), costMs: request.costMs }
       const before = [...waiting].filter(({ rank }) => rank <= own.rank).map(({ costMs }) => costMs)
       const waitMs = expectedWaitMs(before, limits)
       if (waitMs > request.waitMs) {
@@ -121,3 +130,13 @@
     }
   }
 }
+
+/** Statements that a home may have in progress at an upstream. */
+function inProgressOf ({ slots, homes }: QueueLimits): number {
+  return Math.max(LEAST_IN_PROGRESS, Math.ceil(slots * IN_PROGRESS_PER_SLOT / Math.max(1, homes)))
+}
+
+/** The lower, the earlier. */
+function rankOf ({ priority, costMs }: QueueRequest): number {
+  return priority * PRIORITY_WEIGHT_MS + costMs
+}
--- a/src/entry/pools/upstream-health.ts
+++ b/src/entry/pools/upstream-health.ts
@@ -1,16 +1,33 @@
-/** What this host has seen of an upstream: whether it answers, how fast, and whether it has lagged. */
+/**
+ * For how long reads go elsewhere after an upstream has failed or lagged, and how long a statement is expected to take
+ * there. Owns what this host has seen of one upstream.
+ *
+ * Inputs: faults, lags and latencies (in milliseconds) as they are seen here. Rule: an upstream that did not answer is
+ * avoided for {@link AVOID_MS}, a replica that lagged for {@link LAG_MS}, twice as long with each repetition until it
+ * answers or has caught up. The expected time is a running mean, whose excess over that of an unused upstream halves
+ * with time, so that one which was slow is tried again. A connection that breaks says nothing about the upstream.
+ */
 import { laterPosition, type LogPosition } from '../../positions/position.ts'
 import type { UpstreamFault } from './types.ts'
 
-/** Weight of a new latency in the running mean. */
+/** Weight of a new latency in the running mean; chosen, not measured. */
 const SAMPLE_WEIGHT = 0.2
-/** Latency that is assumed of an upstream that has not been used yet, in milliseconds. */
+/** Latency that is assumed of an upstream that has not been used yet, in milliseconds; chosen, not measured. */
 const INITIAL_LATENCY_MS = 15
-/** Time in which the memory of a high latency halves while the upstream is not used, in milliseconds. */
+/**
+ * Time in which the memory of a high latency halves while the upstream is not used, in milliseconds; chosen, not
+ * measured.
+ */
 const LATENCY_HALF_LIFE_MS = 800
-/** First and greatest time for which an upstream that failed is avoided, in milliseconds; it doubles in between. */
+/**
+ * First and greatest time for which an upstream that failed is avoided, in milliseconds; it doubles in between; chosen,
+ * not measured.
+ */
 const AVOID_MS = { first: 250, greatest: 2000 } as const
-/** First and greatest time for which a replica that lagged is avoided, in milliseconds; it doubles in between. */
+/**
+ * First and greatest time for which a replica that lagged is avoided, in milliseconds; it doubles in between; chosen,
+ * not measured.
+ */
 const LAG_MS = { first: 100, greatest: 800 } as const
 
 /** Health of one upstream as this host sees it. */
@@ -25,12 +42,12 @@
   readonly lagging: boolean
   /** Expected time of a statement, in milliseconds. */
   readonly latencyMs: number
-  /** Furthest position of its log that any answer has told. */
+  /** Furthest position of its log that any answer has carried. */
   readonly reached: LogPosition | undefined
-  /** Takes the position that an answer has told, a refusal's too. */
+  /** Records the position of an answer, a refusal's too. */
   reachedPosition: (position: LogPosition) => void
   answered: () => void
-  /** Takes the time of a statement, in milliseconds. */
+  /** Records the time of a statement, in milliseconds. */
   recordLatency: (latencyMs: number) => void
   failed: (fault: UpstreamFault) => void
   lagged: () => void
@@ -38,7 +55,7 @@
 }
 
 /**
- * Creates the health of an upstream that is taken for good.
+ * Creates the health of an upstream; it counts as healthy until something else is seen.
  *
  * @returns the health
  */
--- a/src/entry/pools/upstream-pool.ts
+++ b/src/entry/pools/upstream-pool.ts
@@ -1,42 +1,32 @@
-/** Connections of this host to one upstream. */
+/**
+ * Connections of this host to one upstream: leases them, opens as many as this host's share allows, and closes idle
+ * ones.
+ * Relies on idle-connections.ts (which one serves a request), connection-waiters.ts (who gets the next one) and
+ * connection-opener.ts (what a failed attempt means); owns the connections in use.
+ *
+ * Rule for a new connection: open connections, those being opened included, stay within the share; an organisation for
+ * which none is open takes the place of the connection that has been idle for longest.
+ */
 import { RequestError } from '../../core/errors/index.ts'
-import type { UpstreamPort, UpstreamTarget } from '../ports/index.ts'
-import { mismatchOf } from './align-connection.ts'
+import type { UpstreamConnection, UpstreamPort, UpstreamTarget } from '../ports/index.ts'
 import type { ConnectionLimits } from './connection-limits.ts'
-import type { ConnectionLease, LeaseRequest, PooledConnection, PoolEvents, UpstreamFault } from './types.ts'
+import { createConnectionOpener, type ConnectionOpener } from './connection-opener.ts'
+import { createConnectionWaiters } from './connection-waiters.ts'
+import { createIdleConnections } from './idle-connections.ts'
+import type { ConnectionLease, LeaseRequest, PooledConnection, PoolEvents } from './types.ts'
 
-/** Time to connect, in milliseconds: a new connection takes 12 ms, more while the upstream's slots are taken. */
-const CONNECT_TIMEOUT_MS = 700
-/** Time for which no further connection is tried after the upstream had no room, in milliseconds. */
-const FULL_PAUSE_MS = 150
-/** Time after which an idle connection beyond those that are kept is closed, in milliseconds. */
-const SURPLUS_IDLE_MS = 1500
-/**
- * The same where organisations share the upstream, in milliseconds: no other one's connection can take its place, so
- * that one which comes back after some seconds would have to open it anew. With 17 organisations 686 connections were
- * opened for 2,377 requests, 958 with {@link SURPLUS_IDLE_MS}.
- */
-const SURPLUS_IDLE_SHARED_MS = 10_000
-/** Time between two looks for surplus connections, in milliseconds. */
+/** Time between two looks for surplus connections, in milliseconds; chosen, not measured. */
 const TRIM_MS = 1000
 
 /** Options of {@link createUpstreamPool}. */
 interface UpstreamPoolOptions {
   target: UpstreamTarget
   port: UpstreamPort
-  /** Connections that this host may have; asked whenever one is opened or closed. */
+  /** Connections that this host may have; evaluated whenever one is opened or closed. */
   limits: () => ConnectionLimits
   events: PoolEvents
 }
 
-/** Someone who waits for a connection. */
-interface Waiter {
-  request: LeaseRequest
-  resolve: (lease: ConnectionLease) => void
-  reject: (error: RequestError) => void
-  timer: NodeJS.Timeout
-}
-
 /** Connections of this host to one upstream. */
 export interface UpstreamPool {
   readonly target: UpstreamTarget
@@ -69,155 +59,63 @@
  */
 export function createUpstreamPool (options: UpstreamPoolOptions): UpstreamPool {
   const { target, port, events } = options
-  const idle: PooledConnection[] = []
+  const idle = createIdleConnections()
   const used = new Set<PooledConnection>()
-  const waiters: Waiter[] = []
-  /** Connections that are being opened, by organisation. */
-  const opening = new Map<string, number>()
-  let fullUntil = -Infinity
+  const waiters = createConnectionWaiters()
   let closed = false
 
-  const countOpening = (organisation: string, change: number): void => {
-    opening.set(organisation, (opening.get(organisation) ?? 0) + change)
-  }
-  const openingNow = (): number => [...opening.values()].reduce((sum, count) => sum + count, 0)
-  const size = (): number => idle.length + used.size + openingNow()
-  const mayOpen = (): boolean => !closed && size() < options.limits().share && performance.now() >= fullUntil
+  const size = (): number => idle.count + used.size + opener.count
+  const mayOpen = (): boolean => !closed && size() < options.limits().share && !opener.isPaused
+  /** Makes room for one more connection, also by closing an idle one. */
+  const makeRoom = (): boolean => !closed && (mayOpen() || idle.closeLongestIdle())
 
   const lease = (pooled: PooledConnection): ConnectionLease => {
     used.add(pooled)
-    let done = false
-    const finish = (): boolean => {
-      const first = !done
-      done = true
-      used.delete(pooled)
-      return first
-    }
-    return Object.assign(Object.create(pooled) as ConnectionLease, {
-      release: () => {
-        if (finish()) {
-          putBack(pooled)
-        }
-      },
-      discard: () => {
-        if (finish()) {
-          pooled.connection.close()
-          serveWaiters()
-        }
-      }
+    return leaseOf(pooled, {
+      onEnd: () => used.delete(pooled),
+      onRelease: () => putBack(pooled),
+      onDiscard: () => serveWaiters()
     })
   }
+  const leaseIdle = (request: LeaseRequest): ConnectionLease | undefined => {
+    const ready = idle.takeBest(request)
+    return ready && lease(ready)
+  }
   const putBack = (pooled: PooledConnection): void => {
-    if (closed || pooled.connection.closed) {
-      pooled.connection.close()
-    } else {
-      pooled.idleSince = performance.now()
-      idle.push(pooled)
-    }
+    closed || pooled.connection.closed ? pooled.connection.close() : idle.add(pooled)
     serveWaiters()
   }
-  const takeIdle = ({ organisation, values }: LeaseRequest): PooledConnection | undefined => {
-    let best = -1
-    let leastMismatch = Infinity
-    for (let index = idle.length - 1; index >= 0; index--) {
-      const pooled = idle[index]!
-      const isFit = organisation === undefined || pooled.organisation === organisation
-      const mismatch = isFit ? mismatchOf(pooled.values, values) : Infinity
-      if (mismatch < leastMismatch) {
-        best = index
-        leastMismatch = mismatch
-      }
-    }
-    return best < 0 ? undefined : idle.splice(best, 1)[0]
-  }
-  /** Makes room for a connection of another organisation: the one that has been idle for longest goes. */
-  const makeRoom = (): boolean => {
-    if (closed || mayOpen()) {
-      return !closed
-    }
-    const [longestIdle] = idle.splice(0, 1)
-    longestIdle?.connection.close()
-    return longestIdle !== undefined
-  }
   const serveWaiters = (): void => {
-    for (const waiter of [...waiters]) {
-      const ready = takeIdle(waiter.request)
-      if (ready !== undefined) {
-        waiters.splice(waiters.indexOf(waiter), 1)
-        clearTimeout(waiter.timer)
-        waiter.resolve(lease(ready))
-      }
-    }
-    for (const organisation of unservedOrganisations()) {
+    waiters.serve(leaseIdle)
+    for (const organisation of waiters.unservedOrganisations(opener.byOrganisation)) {
       if (!makeRoom()) {
         return
       }
-      void open(organisation)
+      void opener.open(organisation)
     }
   }
-  /** For whom connections are still to be opened: one for each who waits, less those that are being opened. */
-  const unservedOrganisations = (): string[] => {
-    const coming = new Map(opening)
-    return waiters.flatMap(({ request: { organisation = '' } }) => {
-      const left = coming.get(organisation) ?? 0
-      coming.set(organisation, left - 1)
-      return left > 0 ? [] : [organisation]
-    })
-  }
-  const failWaiters = (error: RequestError): void => {
-    for (const waiter of waiters.splice(0)) {
-      clearTimeout(waiter.timer)
-      waiter.reject(error)
-    }
-  }
-  /** Without any connection, and with room for one, the upstream is hard to reach; otherwise it has too much to do. */
-  const waitedTooLong = (waitMs: number): RequestError => {
-    const isOutOfReach = idle.length + used.size === 0 && performance.now() >= fullUntil + FULL_PAUSE_MS
-    return isOutOfReach
-      ? new RequestError('not-run', 'ConnectionLost', { upstream: target.upstream, reason: 'it cannot be reached in time' })
-      : new RequestError('not-run', 'Overloaded', {
-        group: target.group, reason: `no connection to ${target.upstream} in time`, retryAfterMs: Math.round(waitMs)
-      })
-  }
-  const open = async (organisation: string): Promise<void> => {
-    countOpening(organisation, 1)
-    try {
-      const connection = await port.open(target, { organisation, timeoutMs: CONNECT_TIMEOUT_MS })
-      countOpening(organisation, -1)
-      events.onAnswer()
-      const pooled: PooledConnection = {
-        connection, organisation, values: new Map(), prepared: new Map(), idleSince: 0
+  const takeOpened = (connection: UpstreamConnection, organisation: string): void => {
+    events.onAnswer()
+    const pooled = pooledOf(connection, organisation)
+    connection.onClose(() => {
+      if (idle.remove(pooled)) {
+        events.onFault('broken', 'an idle connection was closed')
       }
-      connection.onClose(() => {
-        const index = idle.indexOf(pooled)
-        if (index >= 0) {
-          idle.splice(index, 1)
-          events.onFault('broken', 'an idle connection was closed')
-        }
-      })
-      putBack(pooled)
-    } catch (thrown) {
-      countOpening(organisation, -1)
-      takeOpenFailure(thrown as RequestError)
-    }
+    })
+    putBack(pooled)
   }
-  const takeOpenFailure = (error: RequestError): void => {
-    if (error.entry === 'UpstreamRefused' && (error.details as { reason: string }).reason !== 'misrouted') {
-      fullUntil = performance.now() + FULL_PAUSE_MS
-      setTimeout(serveWaiters, FULL_PAUSE_MS)
-      return
+  const opener = createConnectionOpener({
+    target,
+    port,
+    onOpened: takeOpened,
+    onPauseOver: () => serveWaiters(),
+    onFault: (fault, error) => {
+      events.onFault(fault, error.message)
+      waiters.rejectAll(error)
     }
-    events.onFault(faultOf(error), error.message)
-    failWaiters(error)
-  }
+  })
   const trim = setInterval(() => {
-    const now = performance.now()
-    const isShared = new Set([...idle, ...used].map(({ organisation }) => organisation)).size > 1
-    const surplusMs = isShared ? SURPLUS_IDLE_SHARED_MS : SURPLUS_IDLE_MS
-    while (size() > options.limits().kept && idle.length > 0 && now - idle[0]!.idleSince > surplusMs) {
-      const [surplus] = idle.splice(0, 1)
-      surplus!.connection.close()
-    }
+    idle.closeSurplus(used, () => size() > options.limits().kept)
     serveWaiters()
   }, TRIM_MS)
   trim.unref()
@@ -225,49 +123,84 @@
   return {
     target,
     get inUse () { return used.size },
-    get waiting () { return waiters.length },
+    get waiting () { return waiters.count },
     get size () { return size() },
-    get hasRoom () { return idle.length > 0 || mayOpen() },
+    get hasRoom () { return idle.count > 0 || mayOpen() },
     acquire: async (request) => {
       if (closed) {
-        throw new RequestError('not-run', 'ConnectionLost', { upstream: target.upstream, reason: 'it is leaving' })
+        throw leaving(target)
       }
-      const ready = takeIdle(request)
+      const ready = leaseIdle(request)
       if (ready !== undefined) {
-        return lease(ready)
+        return ready
       }
-      return await new Promise((resolve, reject) => {
-        const waiter: Waiter = {
-          request,
-          resolve,
-          reject,
-          timer: setTimeout(() => {
-            waiters.splice(waiters.indexOf(waiter), 1)
-            reject(waitedTooLong(request.waitMs))
-          }, request.waitMs)
-        }
-        const after = waiters.findIndex((other) => other.request.priority > request.priority)
-        waiters.splice(after < 0 ? waiters.length : after, 0, waiter)
-        serveWaiters()
-      })
-    },
-    abortInUse: () => {
-      const all = [...used]
-      all.forEach(({ connection }) => connection.close())
+      const wait = waiters.add(request, () => waitedTooLong(target, request.waitMs, idle.count + used.size, opener))
+      serveWaiters()
+      return await wait.result
     },
+    abortInUse: () => abort(used),
     close: () => {
       closed = true
       clearInterval(trim)
-      idle.splice(0).forEach(({ connection }) => connection.close())
-      failWaiters(new RequestError('not-run', 'ConnectionLost', { upstream: target.upstream, reason: 'it is leaving' }))
+      idle.closeAll()
+      waiters.rejectAll(leaving(target))
     }
   }
 }
 
-function faultOf (error: RequestError): UpstreamFault {
-  if (error.entry === 'UpstreamRefused') {
-    return 'misrouted'
+/** What happens when a lease ends. */
+interface LeaseEnd {
+  /** The lease ended, in one way or the other. */
+  onEnd: () => void
+  onRelease: () => void
+  /** The connection was closed. */
+  onDiscard: () => void
+}
+
+/** A connection with the operations of its user; only the first end of a lease counts. */
+function leaseOf (pooled: PooledConnection, { onEnd, onRelease, onDiscard }: LeaseEnd): ConnectionLease {
+  let done = false
+  const finish = (): boolean => {
+    const first = !done
+    done = true
+    onEnd()
+    return first
   }
-  const { reason } = error.details as { reason: string }
-  return reason.includes('ECONNREFUSED') || reason.includes('ECONNRESET') ? 'refused' : 'silent'
+  return Object.assign(Object.create(pooled) as ConnectionLease, {
+    release: () => {
+      if (finish()) {
+        onRelease()
+      }
+    },
+    discard: () => {
+      if (finish()) {
+        pooled.connection.close()
+        onDiscard()
+      }
+    }
+  })
+}
+
+function pooledOf (connection: UpstreamConnection, organisation: string): PooledConnection {
+  return { connection, organisation, values: new Map(), prepared: new Map(), idleSince: 0 }
+}
+
+function abort (used: ReadonlySet<PooledConnection>): void {
+  const all = [...used]
+  all.forEach(({ connection }) => connection.close())
+}
+
+function leaving ({ upstream }: UpstreamTarget): RequestError {
+  return new RequestError('not-run', 'ConnectionLost', { upstream, reason: 'it is leaving' })
+}
+
+/** Without any connection, and with room for one, the upstream is hard to reach; otherwise it has too much to do. */
+function waitedTooLong (
+  { group, upstream }: UpstreamTarget, waitMs: number, open: number, { hadNoRoomLately }: ConnectionOpener
+): RequestError {
+  return open === 0 && !hadNoRoomLately
+    ? new RequestError('not-run', 'ConnectionLost', { upstream, reason: 'it cannot be reached in time' })
+    : new RequestError('not-run', 'Overloaded', {
+      group, reason: `no connection to ${upstream} in time`, retryAfterMs: Math.round(waitMs)
+    })
 }
--- a/src/entry/ports/types.ts
+++ b/src/entry/ports/types.ts
@@ -87,7 +87,7 @@
    * @param target - the upstream
    * @param use - for whom, and the greatest wait
    * @returns the connection
-   * @throws RequestError with verdict `not-run`: `ConnectionLost`, or `UpstreamRefused` with its reason
+   * @throws RequestError with verdict `not-run`: `UpstreamUnreachable`, or `UpstreamRefused` with its reason
    */
   open: (target: UpstreamTarget, use: ConnectionUse) => Promise<UpstreamConnection>
 }
--- /dev/null
+++ b/test/core/bounded-wait.test.ts
@@ -0,0 +1,35 @@
+import { afterEach, beforeEach, describe, it } from 'node:test'
+import { expect } from 'earl'
+import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
+import { createBoundedWait } from '../../src/core/time/bounded-wait.ts'
+
+describe('a bounded wait', () => {
+  let clock: Clock
+  beforeEach(() => { clock = fakeTimers.install({ toFake: ['setTimeout', 'clearTimeout'] }) })
+  afterEach(() => { clock.uninstall() })
+
+  it('ends when it is served, and leaves no timer', async () => {
+    const wait = createBoundedWait<string>({ timeoutMs: 100, onTimeout: () => new Error('too late') })
+    wait.serve('first')
+    wait.serve('second')
+    wait.reject(new Error('third'))
+    expect([await wait.result, wait.isOver, clock.countTimers()]).toEqual(['first', true, 0])
+  })
+
+  it('is rejected when its time is over, after it was taken out of its queue', async () => {
+    let isQueued = true
+    const wait = createBoundedWait<string>({
+      timeoutMs: 100,
+      onTimeout: () => {
+        isQueued = false
+        return new Error('too late')
+      }
+    })
+    const outcome = wait.result.catch((thrown: unknown) => (thrown as Error).message)
+    await clock.tickAsync(99)
+    expect([wait.isOver, isQueued]).toEqual([false, true])
+    await clock.tickAsync(1)
+    wait.serve('late')
+    expect([await outcome, wait.isOver, isQueued]).toEqual(['too late', true, false])
+  })
+})
