--- a/src/entry/limits/index.ts
+++ b/src/entry/limits/index.ts
@@ -1,21 +1,20 @@
 /**
- * Plug-in `limits`: what organisations may ask for, on all hosts together. Each limit is kept by one host, the first
- * that answers in an order that is the same everywhere; the others ask it before they begin an operation. Hosts that
- * see different ones of the others may ask two that keep the same limit; so the first grants no more than the part of
- * the limit that the hosts it can see have of all, and one that stands in for it a quarter.
+ * Plug-in `limits`: what organisations may ask for, on all hosts together. Each limit is owned by one host, the first
+ * that answers in an order that is the same everywhere; the others ask it before they begin an operation. README.md
+ * names the module of each decision.
  */
-import * as z from 'zod'
 import type { EntrySettings } from '../../core/config/entry-settings.ts'
-import { describeThrown } from '../../core/errors/index.ts'
-import { registerPlugin } from '../../core/kernel/index.ts'
-import { orderByScore } from '../../placement/upstream-homes.ts'
+import { registerPlugin, type PluginContext } from '../../core/kernel/index.ts'
 import type { OperationLimit, Organisation } from '../ports/index.ts'
-import type { KnownHost } from '../registry/index.ts'
-import { createAskers } from './askers.ts'
-import { ASK_MS, HOSTS_ASKED, NAMED_IN_METRICS, REACH_VERSION_MS } from './consts.ts'
-import { createCredits, type GrantAnswer } from './credits.ts'
-import { createLimitOwner, type Standing } from './limit-owner.ts'
-import { watchStalls } from './stalls.ts'
+import { grantedByOrganisation } from './granted-metric.ts'
+import { createLimitOrder } from './limit-order.ts'
+import { createLimitOwner, type LimitOwner } from './limit-owner.ts'
+import { answerLimitQuestion, createLimitQuestions } from './limit-questions.ts'
+import { createPrefetchedGrants, type PrefetchedGrants } from './prefetched-grants.ts'
+import { watchProcessPauses } from './process-pauses.ts'
+import { createRecentRequesters } from './recent-requesters.ts'
+import { seenPartOf } from './seen-part.ts'
+import type { Grant } from './token-bucket.ts'
 
 /** Service of the plug-in. */
 export interface Limits {
@@ -37,150 +36,84 @@
   interface Services { limits: Limits }
 }
 
-const questionSchema = z.object({
-  organisation: z.string(),
-  wanted: z.number().int().positive(),
-  /** Version of the desired state by which the asking host goes. */
-  version: z.number()
-})
-const answerSchema = z.object({
-  granted: z.number().int().nonnegative(),
-  retryAfterMs: z.number().nonnegative(),
-  /** Version of the desired state whose limit was kept. */
-  version: z.number()
-})
-
 registerPlugin({
   name: 'limits',
   needs: ['registry', 'homes', 'peers', 'desiredState', 'metrics'],
   start: (context) => {
-    const settings = context.settings as EntrySettings
-    const registry = context.use('registry')
-    const homes = context.use('homes')
-    const { work: links, handle } = context.use('peers')
-    const desiredState = context.use('desiredState')
-    const { logger } = context
-    const count = context.use('metrics').count('worksward_limit_questions', 'Questions to hosts that keep limits, by outcome')
-    const versionNow = (): number => desiredState.current?.version ?? -1
-    const askers = createAskers({ check: homes.check })
-    /** This host counts as one of those that it sees; those of which it knows nothing do not count. */
-    const seenPart = (): number => {
-      const others = registry.peers()
-      const silent = others.filter((host) => homes.reachability(host) === 'silent').length
-      const seen = others.filter((host) => homes.reachability(host) === 'answers' || askers.isHeard(host.name)).length
-      return (1 + seen) / (1 + seen + silent)
-    }
-    const keeper = createLimitOwner({
-      desiredState: () => desiredState.current, counting: () => settings.limits, seenPart
-    })
+    const { use, logger } = context
+    const registry = use('registry')
+    const homes = use('homes')
+    const { work: links, handle } = use('peers')
+    const desiredState = use('desiredState')
+    const metrics = use('metrics')
+    const count = metrics.count('worksward_limit_questions', 'Questions to hosts that keep limits, by outcome')
+    const version = (): number => desiredState.current?.version ?? -1
+    const limitOf = (organisation: string): OperationLimit | undefined =>
+      desiredState.current?.organisations.get(organisation)?.limit
 
-    /** Hosts in the order in which they keep an organisation's limit, and the list that it was made from. */
-    const orders = new Map<string, { liveHosts: KnownHost[], order: KnownHost[] }>()
-    const orderOf = (organisation: string): KnownHost[] => {
-      const { liveHosts } = registry.current
-      const known = orders.get(organisation)
-      if (known?.liveHosts === liveHosts) {
-        return known.order
-      }
-      const staying = liveHosts.filter(({ leaving }) => leaving !== true)
-      const order = orderByScore(organisation, staying.length > 0 ? staying : liveHosts)
-      orders.set(organisation, { liveHosts, order })
-      return order
-    }
-    desiredState.onChange(({ organisations }) => {
-      [...orders.keys()].filter((name) => !organisations.has(name)).forEach((name) => orders.delete(name))
-    })
-    /** Since when the list of hosts is as it is. */
-    let listedSince = performance.now()
-    let { liveHosts: listed } = registry.current
-    registry.onChange(() => {
-      if (registry.current.liveHosts !== listed) {
-        listed = registry.current.liveHosts
-        listedSince = performance.now()
-      }
-    })
-    const stalls = watchStalls()
-    const standingOf = (organisation: string): Standing => ({
-      isFirst: orderOf(organisation)[0]?.name === registry.self.name,
-      sureSince: Math.max(listedSince, stalls.runningSince)
-    })
-    const grantHere = (organisation: string, wanted: number): GrantAnswer | undefined => {
-      const grant = keeper.grant(organisation, wanted, standingOf(organisation))
+    const requesters = createRecentRequesters({ check: homes.check })
+    const owner = createOwner(context, (host) => requesters.isRecent(host))
+    const pauses = watchProcessPauses()
+    const order = createLimitOrder({ registry, pauses })
+    desiredState.onChange(({ organisations }) => order.retain(organisations))
+    const grantHere = (organisation: string, wanted: number): Grant | undefined => {
+      const grant = owner.grant(organisation, wanted, order.ownershipOf(organisation))
       if (grant !== undefined && grant.granted < wanted) {
-        askers.checkQuiet(registry.peers())
-      }
-      return grant && { ...grant, version: versionNow(), keeper: registry.self.name }
-    }
-    const askHost = async (host: KnownHost, organisation: string, wanted: number): Promise<GrantAnswer | undefined> => {
-      if (host.name === registry.self.name) {
-        return grantHere(organisation, wanted)
-      }
-      try {
-        const question = { organisation, wanted, version: versionNow() }
-        const answer = answerSchema.parse(await links.request(host, 'limit-take', question, ASK_MS))
-        homes.noteAnswer(host)
-        count('answered')
-        return { ...answer, keeper: host.name }
-      } catch (thrown) {
-        homes.noteSilent(host, thrown)
-        count('failed')
-        logger.log('info', 'limit.owner-failed', { organisation, peer: host.name, reason: describeThrown(thrown) })
-        return undefined
+        requesters.checkSilent(registry.peers())
       }
+      return grant
     }
-    const ask = async (organisation: string, wanted: number): Promise<GrantAnswer | undefined> => {
-      for (let tries = 0; tries < HOSTS_ASKED; tries++) {
-        const host = homes.firstAnswering(orderOf(organisation))
-        const answer = host && await askHost(host, organisation, wanted)
-        if (answer !== undefined) {
-          return answer
-        }
-      }
-      return undefined
-    }
-    const limitOf = (organisation: string): OperationLimit | undefined =>
-      desiredState.current?.organisations.get(organisation)?.limit
-    const credits = createCredits({ ask, limitOf })
+    const ask = createLimitQuestions({
+      registry, homes, links, logger, count, version, orderOf: order.of, grantHere
+    })
     handle('limit-take', async (body, link) => {
-      askers.heard(link.host)
-      const { organisation, wanted, version } = questionSchema.parse(body)
-      await desiredState.reach(version, REACH_VERSION_MS)
-      const answer = grantHere(organisation, wanted)
-      return {
-        granted: answer?.granted ?? 0, retryAfterMs: answer?.retryAfterMs ?? REACH_VERSION_MS, version: versionNow()
-      }
+      requesters.record(link.host)
+      return await answerLimitQuestion(body, { grantHere, version, reach: desiredState.reach })
     })
-    /** The organisations that were granted most, and the rest together. */
-    const grantedByOrganisation = (): Record<string, number> => {
-      const all = [...keeper.kept()].map(([name, { granted }]) => [name, granted] as const)
-      const sorted = all.sort(([, left], [, right]) => right - left)
-      const others = sorted.slice(NAMED_IN_METRICS).reduce((sum, [, granted]) => sum + granted, 0)
-      return { ...Object.fromEntries(sorted.slice(0, NAMED_IN_METRICS)), others }
-    }
-    context.use('metrics').expose(
-      'worksward_limit_granted', 'Operations granted by this host as the one that keeps limits', grantedByOrganisation)
+    metrics.expose(
+      'worksward_limit_granted', 'Operations granted by this host as the one that keeps limits',
+      () => grantedByOrganisation(owner.owned()))
 
     return {
-      service: {
-        take: async ({ name, limit }) => {
-          if (limit !== undefined) {
-            await credits.take(name)
-          }
-        },
-        giveBack: ({ name, limit }) => {
-          if (limit !== undefined) {
-            credits.giveBack(name)
-          }
-        },
-        countAgain: (name) => {
-          if (limitOf(name) !== undefined) {
-            credits.countAgain(name)
-          }
-        }
-      },
-      dump: () => Object.fromEntries([...keeper.kept()].map(([name, kept]) =>
-        [name, { ...kept, ...limitOf(name) }])),
-      close: stalls.close
+      service: serviceOf(createPrefetchedGrants({ ask, limitOf }), limitOf),
+      dump: () => Object.fromEntries([...owner.owned()].map(([name, owned]) => [name, { ...owned, ...limitOf(name) }])),
+      close: pauses.close
     }
   }
 })
+
+function createOwner ({ use, settings }: PluginContext, isRecentRequester: (host: string) => boolean): LimitOwner {
+  const registry = use('registry')
+  const homes = use('homes')
+  const desiredState = use('desiredState')
+  return createLimitOwner({
+    desiredState: () => desiredState.current,
+    counting: () => (settings as EntrySettings).limits,
+    seenPart: () => seenPartOf(registry.peers().map((host) => ({
+      reachability: homes.reachability(host), isRecentRequester: isRecentRequester(host.name)
+    })))
+  })
+}
+
+/** Organisations without a limit take nothing. */
+function serviceOf (
+  grants: PrefetchedGrants, limitOf: (organisation: string) => OperationLimit | undefined
+): Limits {
+  return {
+    take: async ({ name, limit }) => {
+      if (limit !== undefined) {
+        await grants.take(name)
+      }
+    },
+    giveBack: ({ name, limit }) => {
+      if (limit !== undefined) {
+        grants.giveBack(name)
+      }
+    },
+    countAgain: (name) => {
+      if (limitOf(name) !== undefined) {
+        grants.countAgain(name)
+      }
+    }
+  }
+}
--- a/test/entry/limits/credits.test.ts
+++ b/test/entry/limits/prefetched-grants.test.ts
@@ -2,15 +2,15 @@
 import { expect } from 'earl'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { RequestError } from '../../../src/core/errors/index.ts'
-import { REFUSED_HERE_MS } from '../../../src/entry/limits/consts.ts'
-import { createCredits, type Credits } from '../../../src/entry/limits/credits.ts'
+import { REFUSED_HERE_MS } from '../../../src/entry/limits/organisation-grants.ts'
+import { createPrefetchedGrants, type PrefetchedGrants } from '../../../src/entry/limits/prefetched-grants.ts'
 
 describe('the operations that a host may run for an organisation', () => {
   let clock: Clock
-  let credits: Credits
+  let grants: PrefetchedGrants
   /** Numbers of operations that were asked for. */
   let asked: number[]
-  /** Operations that the keeper has left. */
+  /** Operations that the owner has left. */
   let left: number
   let answers: boolean
 
@@ -19,7 +19,7 @@
     asked = []
     left = Infinity
     answers = true
-    credits = createCredits({
+    grants = createPrefetchedGrants({
       limitOf: () => ({ perSecond: 20, burst: 20 }),
       ask: async (_organisation, wanted) => {
         asked.push(wanted)
@@ -34,7 +34,7 @@
 
   /** Takes some at once; returns how many were had, and why others were not. */
   const take = async (count: number): Promise<{ had: number, reasons: string[] }> => {
-    const outcomes = Promise.allSettled(Array.from({ length: count }, async () => await credits.take('red')))
+    const outcomes = Promise.allSettled(Array.from({ length: count }, async () => await grants.take('red')))
     await clock.tickAsync(10)
     const reasons = (await outcomes).flatMap((outcome) =>
       outcome.status === 'rejected' ? [(outcome.reason as RequestError).message] : [])
@@ -77,9 +77,9 @@
   it('are had again when one that was not run is given back, and are fewer after one that may have run twice', async () => {
     left = 1
     await take(1)
-    credits.giveBack('red')
+    grants.giveBack('red')
     expect((await take(1)).had).toEqual(1)
-    credits.countAgain('red')
+    grants.countAgain('red')
     left = Infinity
     await take(1)
     expect(asked.at(-1)).toEqual(2)
--- a/test/entry/process/organisations.test.ts
+++ b/test/entry/process/organisations.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { REFUSED_HERE_MS } from '../../../src/entry/limits/consts.ts'
+import { REFUSED_HERE_MS } from '../../../src/entry/limits/organisation-grants.ts'
 import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
 import type { FakeOrganisation, FakeRoute } from '../../fixtures/fleet/world.ts'
 import { seedRandom } from '../../fixtures/seed-random.ts'
