--- a/src/entry/homes/home-choice.ts
+++ b/src/entry/homes/home-choice.ts
@@ -1,35 +1,41 @@
-/** Chooses among the homes of an upstream by what was seen of each: whether it answers, and how much it has to do. */
-import type { KnownHost } from '../registry/index.ts'
-import { ASK_AGAIN_MS, LOAD_COST_MS, LOAD_HALF_LIFE_MS, OTHER_HOME_MS, OVERHEAD } from './consts.ts'
+/**
+ * Which home a statement goes to, when a home is skipped, and when a skipped one is probed again.
+ *
+ * Inputs: the homes of the upstream, those that were tried for the statement, the organisation on whose behalf it runs;
+ * what was seen of each home (seen-homes.ts) and its cost in milliseconds (home-cost.ts).
+ * Rule: homes that failed and have not answered since, and those that are leaving, are skipped. Of two others, drawn at
+ * random, the cheaper one is taken; for an organisation one of the two is the home that it prefers, and the other costs
+ * {@link OTHER_HOME_MS} more. Silent homes are probed one at a time, the one probed longest ago first, with a pause of
+ * {@link PROBE_AGAIN_MS}.
+ * Why: hosts that all went to the home with the least load would overload it. A statement meets a silent home once, and
+ * not at each try.
+ */
 import { orderByScore } from '../../placement/upstream-homes.ts'
+import type { KnownHost } from '../registry/index.ts'
+import { costOf, recordOverhead } from './home-cost.ts'
+import { countInProgress, createSeenHomes, type SeenHome } from './seen-homes.ts'
+
+/**
+ * Pause before a home that failed is probed again, and between two such probes of a host, in milliseconds. Measured:
+ * with a pause for each home alone, 71 hosts split in two sent 1,007 probes a second, as many as their callers had
+ * statements; so they send 540 in all.
+ */
+export const PROBE_AGAIN_MS = 250
+/**
+ * Cost of another home than the one that an organisation prefers, in milliseconds: a connection carries the statements
+ * of one organisation only, so the other home opens one more, which takes 12 ms of a slot and a round trip, and closes
+ * one that would have been used. Derived: as much as two statements before it.
+ */
+const OTHER_HOME_MS = 20
 
-/** What a home tells with each answer. */
+/** What a home reports with each answer. */
 interface HomeReport {
   /** Statements and transactions that use a connection to the upstream there, or wait for one. */
   load: number
-  /** Whether it has been told to stop. */
+  /** Whether it has been ordered to stop. */
   leaving: boolean
 }
 
-/** What is known of one home. */
-interface SeenHome {
-  host: KnownHost
-  /** Process that was seen; a restarted one is another. */
-  process: string
-  /** Whether it has failed and not answered since. */
-  isSilent: boolean
-  /** When it failed, or was last asked whether it is there again, on the steady clock. */
-  silentAt: number
-  leaving: boolean
-  /** Load by upstream, and when it was told. */
-  loads: Map<string, { load: number, at: number }>
-  /** What answers took beyond the statement itself, in milliseconds, and when that was last seen. */
-  overhead: { meanMs: number, at: number }
-  /** Statements in progress there, by upstream. */
-  inProgress: Map<string, number>
-  lastAnswerAt: number
-}
-
 /** Chooses homes. */
 export interface HomeChoice {
   /**
@@ -44,33 +50,33 @@
   choose: (
     upstream: string, homes: KnownHost[], tried: ReadonlySet<string>, organisation?: string
   ) => KnownHost | undefined
-  /** Takes note that a statement was sent. */
-  sent: (home: KnownHost, upstream: string) => void
-  /** Takes note that a statement has ended, whatever became of it. */
-  ended: (home: KnownHost, upstream: string) => void
+  /** Records that a statement was sent. */
+  recordSent: (home: KnownHost, upstream: string) => void
+  /** Records that a statement has ended, with whatever outcome. */
+  recordEnded: (home: KnownHost, upstream: string) => void
   /**
-   * Takes note of an answer.
+   * Records an answer.
    *
    * @param home - the home
    * @param upstream - where the statement ran
-   * @param report - what the home told of itself
+   * @param report - what the home reported of itself
    * @param overheadMs - what the answer took beyond the statement itself, in milliseconds
    */
-  answered: (home: KnownHost, upstream: string, report?: HomeReport, overheadMs?: number) => void
-  /** Takes note that a home could not be reached or has not answered: it is passed over until it answers. */
-  failed: (home: KnownHost) => void
+  recordAnswer: (home: KnownHost, upstream: string, report?: HomeReport, overheadMs?: number) => void
+  /** Records that a home could not be reached or has not answered: it is skipped until it answers. */
+  recordFailure: (home: KnownHost) => void
   /** Whether a home has failed and not answered since. */
   isSilent: (home: KnownHost) => boolean
   /**
-   * Names a silent home that is to be asked now whether it is there again; one at a time, with a pause in between.
+   * Names the silent home that is to be probed now; one at a time, with a pause in between.
    *
    * @param homes - the homes that are needed
-   * @returns the one to ask; undefined when none is due
+   * @returns the one to probe; undefined when none is due
    */
-  takeDue: (homes: KnownHost[]) => KnownHost | undefined
+  takeDueProbe: (homes: KnownHost[]) => KnownHost | undefined
   /** When a home last answered anything, on the steady clock. */
   lastAnswerAt: (home: KnownHost) => number
-  /** Statements that this host has in progress at an upstream through homes, and those that homes have told. */
+  /** Statements that this host has in progress at an upstream through homes. */
   loadOf: (upstream: string) => number
 }
 
@@ -80,69 +86,20 @@
  * @returns the choice
  */
 export function createHomeChoice (): HomeChoice {
-  const seen = new Map<string, SeenHome>()
-  let askedAgainAt = -Infinity
+  const seen = createSeenHomes()
+  let probedAt = -Infinity
 
-  const seenOf = (host: KnownHost): SeenHome => {
-    const { name, process } = host
-    const known = seen.get(name)
-    if (known?.process === process) {
-      return known
-    }
-    const fresh: SeenHome = {
-      host,
-      process,
-      isSilent: false,
-      silentAt: -Infinity,
-      leaving: false,
-      loads: new Map(),
-      overhead: { meanMs: 0, at: -Infinity },
-      inProgress: known?.inProgress ?? new Map<string, number>(),
-      lastAnswerAt: -Infinity
-    }
-    seen.set(name, fresh)
-    return fresh
-  }
-  const loadAt = ({ loads, inProgress }: SeenHome, upstream: string): number => {
-    const told = loads.get(upstream)
-    const toldNow = told === undefined ? 0 : faded(told.load, told.at, LOAD_HALF_LIFE_MS)
-    return Math.max(toldNow, inProgress.get(upstream) ?? 0)
-  }
-  /** What was seen some time ago counts less and less, so that a home which was busy is tried again. */
-  const overheadOf = ({ overhead: { meanMs, at } }: SeenHome): number =>
-    faded(meanMs, at, OVERHEAD.halfLifeMs)
-  const noteOverhead = (home: SeenHome, overheadMs: number): void => {
-    const meanMs = overheadOf(home) * (1 - OVERHEAD.newPart) + overheadMs * OVERHEAD.newPart
-    home.overhead = { meanMs, at: performance.now() }
-  }
-  const costOf = (home: KnownHost, upstream: string): number => {
-    const known = seenOf(home)
-    return loadAt(known, upstream) * LOAD_COST_MS + overheadOf(known)
-  }
   return {
     choose: (upstream, homes, tried, organisation = '') => {
-      const fit = homes.filter((home) => {
-        const { isSilent, leaving } = seenOf(home)
-        return !tried.has(home.name) && !isSilent && !leaving
-      })
-      // Two drawn at random: hosts that all went to the one that told the least would overload it.
+      const fit = homes.filter((home) => !tried.has(home.name) && isFit(seen.of(home)))
       // The home where the organisation's connections are.
       const [preferred] = organisation === '' ? [] : orderByScore(organisation, fit)
-      const cost = (home: KnownHost): number =>
-        costOf(home, upstream) + (preferred === undefined || home === preferred ? 0 : OTHER_HOME_MS)
-      const drawn = fit.length <= 2 ? fit : drawTwo(fit, preferred)
-      return drawn.sort((left, right) => cost(left) - cost(right) || Math.random() - 0.5)[0]
-    },
-    sent: (home, upstream) => {
-      const { inProgress } = seenOf(home)
-      inProgress.set(upstream, (inProgress.get(upstream) ?? 0) + 1)
+      return cheaperOfTwo(fit, preferred, (home) => costOf(seen.of(home), upstream))
     },
-    ended: (home, upstream) => {
-      const { inProgress } = seenOf(home)
-      inProgress.set(upstream, Math.max(0, (inProgress.get(upstream) ?? 0) - 1))
-    },
-    answered: (home, upstream, report, overheadMs) => {
-      const known = seenOf(home)
+    recordSent: (home, upstream) => countInProgress(seen.of(home), upstream, 1),
+    recordEnded: (home, upstream) => countInProgress(seen.of(home), upstream, -1),
+    recordAnswer: (home, upstream, report, overheadMs) => {
+      const known = seen.of(home)
       known.lastAnswerAt = performance.now()
       known.isSilent = false
       if (report !== undefined) {
@@ -150,40 +107,57 @@
         known.loads.set(upstream, { load: report.load, at: performance.now() })
       }
       if (overheadMs !== undefined) {
-        noteOverhead(known, overheadMs)
+        recordOverhead(known, overheadMs)
       }
     },
-    failed: (home) => {
-      const known = seenOf(home)
+    recordFailure: (home) => {
+      const known = seen.of(home)
       if (!known.isSilent) {
         known.isSilent = true
         known.silentAt = performance.now()
       }
     },
-    isSilent: (home) => seenOf(home).isSilent,
-    takeDue: (homes) => {
-      const latest = performance.now() - ASK_AGAIN_MS
-      const [due] = homes.map(seenOf).filter(({ isSilent, silentAt }) => isSilent && silentAt <= latest)
-        .sort((left, right) => left.silentAt - right.silentAt)
-      if (due === undefined || askedAgainAt > latest) {
+    isSilent: (home) => seen.of(home).isSilent,
+    takeDueProbe: (homes) => {
+      const latest = performance.now() - PROBE_AGAIN_MS
+      const due = longestSilent(homes.map(seen.of), latest)
+      if (due === undefined || probedAt > latest) {
         return undefined
       }
-      askedAgainAt = performance.now()
-      due.silentAt = askedAgainAt
+      probedAt = performance.now()
+      due.silentAt = probedAt
       return due.host
     },
-    lastAnswerAt: (home) => seenOf(home).lastAnswerAt,
-    loadOf: (upstream) => [...seen.values()].reduce((sum, home) => sum + (home.inProgress.get(upstream) ?? 0), 0)
+    lastAnswerAt: (home) => seen.of(home).lastAnswerAt,
+    loadOf: seen.inProgressAt
   }
 }
 
-/** What is left of a value that was seen some time ago, and counts half after each half-life. */
-function faded (value: number, seenAt: number, halfLifeMs: number): number {
-  return value * 0.5 ** ((performance.now() - seenAt) / halfLifeMs)
+/** Whether statements may go to a home. */
+function isFit ({ isSilent, leaving }: SeenHome): boolean {
+  return !isSilent && !leaving
+}
+
+/** The silent home that failed or was probed longest ago; undefined when none did before the given time. */
+function longestSilent (homes: SeenHome[], latest: number): SeenHome | undefined {
+  const [longest] = homes
+    .filter(({ isSilent, silentAt }) => isSilent && silentAt <= latest)
+    .sort((left, right) => left.silentAt - right.silentAt)
+  return longest
+}
+
+/** The cheaper of two homes drawn at random, the preferred one among them; either of them when they cost the same. */
+function cheaperOfTwo (
+  fit: KnownHost[], preferred: KnownHost | undefined, costAt: (home: KnownHost) => number
+): KnownHost | undefined {
+  const cost = (home: KnownHost): number =>
+    costAt(home) + (preferred === undefined || home === preferred ? 0 : OTHER_HOME_MS)
+  const drawn = fit.length <= 2 ? fit : drawPair(fit, preferred)
+  return drawn.sort((left, right) => cost(left) - cost(right) || Math.random() - 0.5)[0]
 }
 
-/** Draws two items; one of them is the given one, if any. */
-function drawTwo<Item> (items: Item[], given?: Item): Item[] {
+/** Draws two different items at random; one of them is the given one, if any. */
+function drawPair<Item> (items: Item[], given?: Item): Item[] {
   const first = given === undefined ? Math.floor(Math.random() * items.length) : items.indexOf(given)
   const second = Math.floor(Math.random() * (items.length - 1))
   return [items[first]!, items[second < first ? second : second + 1]!]
--- a/src/entry/homes/home-watch.ts
+++ b/src/entry/homes/home-watch.ts
@@ -1,20 +1,47 @@
 /**
- * Tells homes that are slow from homes that are gone. One that does not answer soon is suspected: what can run
- * elsewhere leaves it, and it is passed over until it answers. Requests of callers find out one home at a time, at 0.2
- * to 0.3 s each: when 71 hosts were split in two, they met silent homes 3,667 times in 1.5 s. So hosts ask in advance.
+ * When a home counts as silent towards this host that asks it, and when its link is broken: a home that is slow is
+ * suspected, one that is gone loses its link. (limits/recent-requesters.ts watches hosts that no longer request, and
+ * limits/process-pauses.ts this process itself.)
+ *
+ * Inputs: when a home last answered, and when a probe was sent, in milliseconds. Rule: a home that statements wait for
+ * is probed when it has answered nothing for {@link UNHEARD_MS}. One that does not answer the probe in {@link
+ * PROBE_ANSWER_MS} is suspected: what can run elsewhere leaves it, and it is skipped until it answers. After {@link
+ * HOME_GONE_MS} its link is broken. When several homes are silent, all others with a link are probed; when one answers
+ * again, all silent ones are.
+ * Why: requests of callers find out one home at a time, at 0.2 to 0.3 s each. Measured: when 71 hosts were split in
+ * two, requests met silent homes 3,667 times in 1.5 s.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import { TIMED_OUT, within } from '../../core/time/deadline.ts'
 import type { Peers } from '../../peers/index.ts'
 import type { KnownHost } from '../registry/index.ts'
-import { HOME_ANSWER_MS, HOME_GONE_MS, HOME_SILENCE_MS, LOOK_AROUND } from './consts.ts'
 import type { HomeChoice } from './home-choice.ts'
 
+/** Time after which a home that has answered nothing is probed, in milliseconds; chosen, not measured. */
+export const UNHEARD_MS = 150
+/**
+ * Time that it then has to answer before it is suspected, in milliseconds; chosen, not measured: a process with little
+ * to do answers within some tens, and one that has used up its share of a core within a hundred.
+ */
+export const PROBE_ANSWER_MS = 150
+/**
+ * Time that it then has to answer before its link is broken and what waits there fails, in milliseconds. Derived: as
+ * long as most routes give a statement; what is in doubt is not sent again, so that a late answer serves a caller
+ * better.
+ */
+export const HOME_GONE_MS = 800
+/**
+ * Silent homes from which on all others with a link are probed as well, and the least pause between two such rounds, in
+ * milliseconds; chosen, not measured: one may have ended or be paused, while more at once are often those beyond a
+ * partition.
+ */
+export const PROBE_OTHERS = { silent: 2, pauseMs: 1000 } as const
+
 /** Options of {@link createHomeWatch}. */
 interface HomeWatchOptions {
-  links: Peers['work']
-  choice: Pick<HomeChoice, 'answered' | 'failed' | 'isSilent' | 'lastAnswerAt'>
+  links: Pick<Peers['work'], 'request' | 'disconnect'>
+  choice: Pick<HomeChoice, 'recordAnswer' | 'recordFailure' | 'isSilent' | 'lastAnswerAt'>
   logger: Logger
   /** Homes that this host may pass statements on to. */
   homes: () => KnownHost[]
@@ -23,103 +50,118 @@
 /** Watches homes that statements wait for. */
 export interface HomeWatch {
   /**
-   * Says whether a home is there: asks it, unless it has answered just now.
+   * Checks whether a home is alive: probes it, unless it has answered just now.
    *
    * @param home - the home
    * @returns whether it answered soon enough
    */
-  isThere: (home: KnownHost) => Promise<boolean>
+  isAlive: (home: KnownHost) => Promise<boolean>
   /**
-   * Asks a home again and again for as long as it stays silent.
+   * Probes a home again and again for as long as it stays silent.
    *
    * @param home - the home
-   * @param onSuspected - told each time that it has not answered soon enough
-   * @returns stops asking
+   * @param onSuspected - called each time that it has not answered soon enough
+   * @returns stops probing
    */
-  whileWaiting: (home: KnownHost, onSuspected: () => void) => () => void
-  /** Takes note that a home could not be reached, or has not answered. */
-  failed: (home: KnownHost, thrown: unknown) => void
+  probeWhileWaiting: (home: KnownHost, onSuspected: () => void) => () => void
+  /** Records that a home could not be reached, or has not answered. */
+  recordFailure: (home: KnownHost, thrown: unknown) => void
 }
 
 /**
  * Creates the watch.
  *
- * @param options - the links, and the choice that is told
+ * @param options - the links, and the choice that records what is seen
  * @returns the watch
  */
-export function createHomeWatch ({ links, choice, logger, homes }: HomeWatchOptions): HomeWatch {
-  /** Questions in progress by home, and whether they are answered soon: those who wait for the same home share them. */
-  const asking = new Map<string, Promise<boolean>>()
-  let lookedAroundAt = -Infinity
-  /** Asks all homes that have answered before, when several are silent. */
-  const lookAround = (): void => {
-    const known = homes()
-    const silent = known.filter(choice.isSilent)
-    if (silent.length < LOOK_AROUND.silent || performance.now() - lookedAroundAt < LOOK_AROUND.pauseMs) {
-      return
-    }
-    lookedAroundAt = performance.now()
-    const others = known.filter((home) => !choice.isSilent(home) && Number.isFinite(choice.lastAnswerAt(home)))
-    others.forEach((home) => { void isThere(home) })
-    logger.log('info', 'home.all-asked', { silent: silent.length, asked: others.length })
-  }
-  const noteSilent = (home: KnownHost): void => {
-    const isNews = !choice.isSilent(home)
-    choice.failed(home)
-    if (isNews) {
-      lookAround()
+export function createHomeWatch (options: HomeWatchOptions): HomeWatch {
+  const { links, choice, logger } = options
+  /** Probes in progress by home, and whether they are answered soon: all that wait for the same home share them. */
+  const probing = new Map<string, Promise<boolean>>()
+  const probeOthers = createRoundOfOthers(options, (home) => { void isAlive(home) })
+
+  const recordSilence = (home: KnownHost): void => {
+    const wasSilent = choice.isSilent(home)
+    choice.recordFailure(home)
+    if (!wasSilent) {
+      probeOthers.onSilent()
     }
   }
-  const failed = (home: KnownHost, thrown: unknown): void => {
-    noteSilent(home)
+  const recordFailure = (home: KnownHost, thrown: unknown): void => {
+    recordSilence(home)
     logger.log('info', 'home.failed', { peer: home.name, reason: describeThrown(thrown) })
   }
-  /** The end of a cut brings all homes back that were beyond it. */
-  const noteAnswer = (home: KnownHost): void => {
-    const isBack = choice.isSilent(home)
-    choice.answered(home, '')
-    if (isBack) {
-      homes().filter(choice.isSilent).forEach((other) => { void isThere(other) })
-    }
-  }
   const answers = async (home: KnownHost): Promise<boolean> => {
     try {
       await links.request(home, 'home-alive', {}, HOME_GONE_MS)
-      noteAnswer(home)
+      const wasSilent = choice.isSilent(home)
+      choice.recordAnswer(home, '')
+      if (wasSilent) {
+        probeOthers.onBack()
+      }
       return true
     } catch (thrown) {
-      failed(home, thrown)
+      recordFailure(home, thrown)
       links.disconnect(home)
       return false
     }
   }
   const answersSoon = async (home: KnownHost, answer: Promise<boolean>): Promise<boolean> => {
-    const inTime = await within(answer, HOME_ANSWER_MS)
+    const inTime = await within(answer, PROBE_ANSWER_MS)
     if (inTime === TIMED_OUT) {
-      noteSilent(home)
-      logger.log('info', 'home.slow', { peer: home.name, silentMs: Math.round(performance.now() - choice.lastAnswerAt(home)) })
+      recordSilence(home)
+      const silentMs = Math.round(performance.now() - choice.lastAnswerAt(home))
+      logger.log('info', 'home.slow', { peer: home.name, silentMs })
       return false
     }
     return inTime
   }
-  const ask = (home: KnownHost): Promise<boolean> => {
-    const answer = answers(home).finally(() => asking.delete(home.name))
+  const probe = (home: KnownHost): Promise<boolean> => {
+    const answer = answers(home).finally(() => probing.delete(home.name))
     const soon = answersSoon(home, answer)
-    asking.set(home.name, soon)
+    probing.set(home.name, soon)
     return soon
   }
   const hasAnsweredLately = (home: KnownHost): boolean =>
-    performance.now() - choice.lastAnswerAt(home) <= HOME_SILENCE_MS
-  const isThere = async (home: KnownHost): Promise<boolean> =>
-    hasAnsweredLately(home) || await (asking.get(home.name) ?? ask(home))
+    performance.now() - choice.lastAnswerAt(home) <= UNHEARD_MS
+  const isAlive = async (home: KnownHost): Promise<boolean> =>
+    hasAnsweredLately(home) || await (probing.get(home.name) ?? probe(home))
   return {
-    isThere,
-    whileWaiting: (home, onSuspected) => {
+    isAlive,
+    probeWhileWaiting: (home, onSuspected) => {
       const timer = setInterval(() => {
-        void isThere(home).then((there) => there || onSuspected())
-      }, HOME_SILENCE_MS)
+        void isAlive(home).then((alive) => alive || onSuspected())
+      }, UNHEARD_MS)
       return () => clearInterval(timer)
     },
-    failed
+    recordFailure
+  }
+}
+
+/** Probes of homes beside the one that was seen to change. */
+interface RoundOfOthers {
+  /** A home has become silent: with several, all others that have answered before are probed. */
+  onSilent: () => void
+  /** A silent home has answered: the end of a partition brings all homes back that were beyond it. */
+  onBack: () => void
+}
+
+function createRoundOfOthers (
+  { choice, logger, homes }: HomeWatchOptions, probe: (home: KnownHost) => void
+): RoundOfOthers {
+  let startedAt = -Infinity
+  return {
+    onSilent: () => {
+      const known = homes()
+      const silent = known.filter(choice.isSilent)
+      if (silent.length < PROBE_OTHERS.silent || performance.now() - startedAt < PROBE_OTHERS.pauseMs) {
+        return
+      }
+      startedAt = performance.now()
+      const others = known.filter((home) => !choice.isSilent(home) && Number.isFinite(choice.lastAnswerAt(home)))
+      others.forEach(probe)
+      logger.log('info', 'home.all-asked', { silent: silent.length, asked: others.length })
+    },
+    onBack: () => homes().filter(choice.isSilent).forEach(probe)
   }
 }
--- a/src/entry/limits/limit-questions.ts
+++ b/src/entry/limits/limit-questions.ts
@@ -41,7 +41,7 @@
 /** Options of {@link createLimitQuestions}. */
 interface LimitQuestionsOptions {
   registry: Pick<Registry, 'self'>
-  homes: Pick<Homes, 'firstAnswering' | 'noteAnswer' | 'noteSilent'>
+  homes: Pick<Homes, 'firstAnswering' | 'recordAnswer' | 'recordFailure'>
   links: Pick<Peers['work'], 'request'>
   logger: Logger
   count: (outcome: 'answered' | 'failed') => void
@@ -75,11 +75,11 @@
     try {
       const question = { organisation, wanted, version: version() }
       const answer = answerSchema.parse(await links.request(host, 'limit-take', question, ANSWER_MS))
-      homes.noteAnswer(host)
+      homes.recordAnswer(host)
       count('answered')
       return { ...answer, keeper: host.name }
     } catch (thrown) {
-      homes.noteSilent(host, thrown)
+      homes.recordFailure(host, thrown)
       count('failed')
       logger.log('info', 'limit.owner-failed', { organisation, peer: host.name, reason: describeThrown(thrown) })
       return undefined
--- a/src/entry/pools/connection-limits.ts
+++ b/src/entry/pools/connection-limits.ts
@@ -1,14 +1,25 @@
-/** How many connections to an upstream a host may have: its part of what the upstream takes from all hosts together. */
-import { RESERVED } from '../homes/consts.ts'
+/**
+ * How many connections to an upstream a host may have, and how many it keeps open when idle.
+ *
+ * Inputs: the cap (connections that the upstream takes from all hosts), its homes, whether this host is one of them,
+ * the time since this process started, in milliseconds. Rule: homes share the cap, less {@link RESERVED}, equally; in
+ * its first {@link MODEST_START_MS} a home opens no more than it keeps. Any other host has one.
+ */
 
 /**
- * Part of its share that a home keeps open when idle. Connections of hosts that lose power count at the upstream for
- * some seconds; with half of them free, all hosts can be back at once.
+ * Part of the cap that homes leave free, and the least number of connections; chosen, not measured: for questions of
+ * control, and for hosts that reach no home.
+ */
+const RESERVED = { part: 0.1, least: 2 } as const
+/**
+ * Part of its share that a home keeps open when idle; chosen, not measured. Connections of hosts that lose power count
+ * at the upstream for some seconds; with half of them free, all hosts can be back at once.
  */
 const KEPT_PART = 0.5
 /**
- * Time after its start in which a home opens no more than it keeps when idle, in milliseconds: when all hosts have lost
- * power, the connections of their former lives count at the upstreams for 3 s, and who opens more takes it from others.
+ * Time after its start in which a home opens no more than it keeps when idle, in milliseconds. Derived: when all hosts
+ * have lost power, the connections of their former processes count at the upstreams for 3 s, and a host that opens more
+ * takes it from others.
  */
 export const MODEST_START_MS = 4000
 /** Connections of a host that is no home of the upstream, for when it reaches none. */
--- a/src/entry/requests/home-seat.ts
+++ b/src/entry/requests/home-seat.ts
@@ -91,7 +91,7 @@
   /** A write that a silent home has taken stays in doubt, so it is only sent to one that answers. */
   const ensureThere = async (scope: RequestScope): Promise<void> => {
     try {
-      await context.homes.ensureThere(home)
+      await context.homes.ensureAlive(home)
     } catch (thrown) {
       scope.triedHomes.add(home.name)
       throw thrown
--- a/test/entry/homes/home-choice.test.ts
+++ b/test/entry/homes/home-choice.test.ts
@@ -1,8 +1,8 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { expect } from 'earl'
-import { ASK_AGAIN_MS, LOAD_HALF_LIFE_MS, OVERHEAD } from '../../../src/entry/homes/consts.ts'
-import { createHomeChoice, type HomeChoice } from '../../../src/entry/homes/home-choice.ts'
+import { createHomeChoice, PROBE_AGAIN_MS, type HomeChoice } from '../../../src/entry/homes/home-choice.ts'
+import { LOAD_HALF_LIFE_MS, OVERHEAD } from '../../../src/entry/homes/home-cost.ts'
 import type { KnownHost } from '../../../src/entry/registry/index.ts'
 
 const homeNamed = (name: string, process = `${name}-1`): KnownHost =>
@@ -22,11 +22,11 @@
   afterEach(() => { clock.uninstall() })
 
   it('takes the one that has less to do, by what it told and what was sent there', () => {
-    choice.answered(a, 'u', { load: 5, leaving: false })
-    choice.answered(b, 'u', { load: 1, leaving: false })
+    choice.recordAnswer(a, 'u', { load: 5, leaving: false })
+    choice.recordAnswer(b, 'u', { load: 1, leaving: false })
     expect(chosen()).toEqual('b')
     for (let count = 0; count < 8; count++) {
-      choice.sent(b, 'u')
+      choice.recordSent(b, 'u')
     }
     expect(chosen()).toEqual('a')
     expect(choice.loadOf('u')).toEqual(8)
@@ -40,63 +40,63 @@
     expect(Array.from({ length: 20 }, () => of('red')).every((name) => name === preferred)).toEqual(true)
     const organisations = Array.from({ length: 40 }, (_, index) => `o${index}`)
     expect(new Set(organisations.map(of)).size).toEqual(homes.length)
-    choice.answered(homeNamed(preferred), 'u', { load: 8, leaving: false })
+    choice.recordAnswer(homeNamed(preferred), 'u', { load: 8, leaving: false })
     expect(of('red') === preferred).toEqual(false)
     expect(choice.choose('u', homes.filter(({ name }) => name !== preferred), NONE, 'red') === undefined).toEqual(false)
   })
 
   it('forgets what a home told some time ago', () => {
-    choice.answered(a, 'u', { load: 8, leaving: false })
-    choice.sent(b, 'u')
+    choice.recordAnswer(a, 'u', { load: 8, leaving: false })
+    choice.recordSent(b, 'u')
     expect(chosen()).toEqual('b')
     clock.tick(LOAD_HALF_LIFE_MS * 5)
     expect(chosen()).toEqual('a')
   })
 
   it('takes the one whose answers take less beyond their statements, until that is some time ago', () => {
-    choice.answered(a, 'u', { load: 0, leaving: false }, 120)
-    choice.answered(b, 'u', { load: 2, leaving: false }, 4)
+    choice.recordAnswer(a, 'u', { load: 0, leaving: false }, 120)
+    choice.recordAnswer(b, 'u', { load: 2, leaving: false }, 4)
     expect(chosen()).toEqual('b')
     clock.tick(OVERHEAD.halfLifeMs * 8)
-    choice.sent(b, 'u')
+    choice.recordSent(b, 'u')
     expect(chosen()).toEqual('a')
   })
 
   it('passes over one that failed until it answers', () => {
-    choice.failed(a)
-    clock.tick(ASK_AGAIN_MS * 10)
+    choice.recordFailure(a)
+    clock.tick(PROBE_AGAIN_MS * 10)
     expect(chosen([a])).toEqual(undefined)
-    choice.answered(a, 'u')
+    choice.recordAnswer(a, 'u')
     expect(chosen([a])).toEqual('a')
   })
 
   it('has one at a time asked again of those that failed, the one that was asked longest ago', () => {
-    choice.failed(a)
+    choice.recordFailure(a)
     clock.tick(1)
-    choice.failed(b)
-    clock.tick(ASK_AGAIN_MS - 2)
-    expect(choice.takeDue([a, b])).toEqual(undefined)
+    choice.recordFailure(b)
+    clock.tick(PROBE_AGAIN_MS - 2)
+    expect(choice.takeDueProbe([a, b])).toEqual(undefined)
     for (const due of [a, b, a, b]) {
-      clock.tick(ASK_AGAIN_MS)
-      expect(choice.takeDue([b, a])).toEqual(due)
-      expect(choice.takeDue([b, a])).toEqual(undefined)
+      clock.tick(PROBE_AGAIN_MS)
+      expect(choice.takeDueProbe([b, a])).toEqual(due)
+      expect(choice.takeDueProbe([b, a])).toEqual(undefined)
     }
-    choice.answered(a, 'u')
-    choice.answered(b, 'u')
-    clock.tick(ASK_AGAIN_MS)
-    expect(choice.takeDue([a, b])).toEqual(undefined)
+    choice.recordAnswer(a, 'u')
+    choice.recordAnswer(b, 'u')
+    clock.tick(PROBE_AGAIN_MS)
+    expect(choice.takeDueProbe([a, b])).toEqual(undefined)
   })
 
   it('counts several failures as one', () => {
-    choice.failed(a)
-    clock.tick(ASK_AGAIN_MS - 1)
-    choice.failed(a)
+    choice.recordFailure(a)
+    clock.tick(PROBE_AGAIN_MS - 1)
+    choice.recordFailure(a)
     clock.tick(1)
-    expect(choice.takeDue([a])).toEqual(a)
+    expect(choice.takeDueProbe([a])).toEqual(a)
   })
 
   it('leaves one that is stopping, until another process runs there', () => {
-    choice.answered(a, 'u', { load: 0, leaving: true })
+    choice.recordAnswer(a, 'u', { load: 0, leaving: true })
     expect(chosen([a])).toEqual(undefined)
     expect(chosen([homeNamed('a', 'a-2')])).toEqual('a')
   })
