--- a/src/entry/freshness/group-freshness.ts
+++ b/src/entry/freshness/group-freshness.ts
@@ -1,16 +1,23 @@
 /**
- * What the answers of a primary prove about the age of data. A request sent to the primary at time t that came back
- * with position p proves that everything acknowledged before t is at or before p. A read that accepts an age goes to
- * any upstream whose log has reached the position of a proof from that long ago; the upstream itself checks this.
+ * Which position an upstream's log must have reached for a read. Owns the proofs of one group in one epoch.
+ *
+ * Inputs: answers of the primary (when the request was sent, on the steady clock, in milliseconds, and the position
+ * that came back); the moment from which on everything acknowledged must be seen; what the session itself has written.
+ * Rule: a request sent to the primary at time t that came back with position p proves that everything acknowledged
+ * before t is at or before p. A read that accepts an age needs the position of the oldest proof that is young enough,
+ * or its session's own floor where that is further in the same term; the upstream itself checks this. Without such a
+ * proof only the primary will do.
  */
 import { comparePositions, laterPosition, type LogPosition } from '../../positions/position.ts'
 
-/** Age beyond which proofs are dropped, in milliseconds; above every age that routes accept, checked when read. */
+/**
+ * Age beyond which proofs are dropped, in milliseconds. Derived: above every age that routes accept, checked when read.
+ */
 const KEPT_MS = 10_000
-/** Least distance of two proofs, in milliseconds: closer ones say the same. */
+/** Least distance of two proofs, in milliseconds; chosen, not measured: closer ones prove nearly the same. */
 const SPACING_MS = 20
 
-/** Proofs that are passed on to a peer, and their least distance in milliseconds: they cover the ages of routes. */
+/** Proofs in an answer to a peer, and their least distance in milliseconds. Derived: they cover the ages of routes. */
 const PASSED_ON = { count: 12, spacingMs: 250 } as const
 
 /** A proof. */
@@ -23,9 +30,9 @@
 /** Proofs of one group in one epoch. */
 export interface GroupFreshness {
   /**
-   * Takes an answer of the primary.
+   * Records an answer of the primary.
    *
-   * @param epoch - epoch in which the request was sent, with the right to the primary
+   * @param epoch - epoch in which the request was sent, with a valid lease on the primary
    * @param sentAt - when it was sent
    * @param position - the position that came back
    */
@@ -42,7 +49,7 @@
   readonly newest: LogPosition | undefined
   /** Epoch of the proofs; 0 before the first one. */
   readonly epoch: number
-  /** Proofs to pass on: the youngest first, some distance apart, as old as reads accept. */
+  /** Proofs for a peer: the youngest first, some distance apart, as old as reads accept. */
   recent: () => PositionProof[]
 }
 
@@ -82,7 +89,7 @@
         proofs = []
       }
       const before = proofs.findLast((proof) => proof.sentAt <= sentAt)
-      // The log of a primary only grows in an epoch: whoever says less has started again and lost it.
+      // The log of a primary only grows in an epoch: a primary that reports less was restarted and has lost it.
       if (before === undefined || comparePositions(position, before.position) >= 0) {
         insert({ sentAt, position })
       }
--- a/src/entry/freshness/index.ts
+++ b/src/entry/freshness/index.ts
@@ -1,4 +1,4 @@
-/** Plug-in `freshness`: the proofs of every group. */
+/** Plug-in `freshness`: the proofs of every group, and their exchange between hosts. */
 import { registerPlugin } from '../../core/kernel/index.ts'
 import { createGroupFreshness, type GroupFreshness } from './group-freshness.ts'
 import { createProofExchange, type ProofExchange } from './proof-exchange.ts'
