--- a/src/core/time/deadline.ts
+++ b/src/core/time/deadline.ts
@@ -17,7 +17,7 @@
     return Math.max(0, this.at - performance.now())
   }
 
-  /** Whether it has passed. */
+  /** Whether no time is left. */
   get passed (): boolean {
     return this.leftMs === 0
   }
@@ -68,7 +68,7 @@
 export const TIMED_OUT = Symbol('timed out')
 
 /**
- * Waits for a result for a bounded time. What comes later is ignored.
+ * Waits for a result for a bounded time. A result that comes later is ignored.
  *
  * @param pending - the result
  * @param timeoutMs - greatest wait, in milliseconds
@@ -83,6 +83,7 @@
     return await Promise.race([pending, timeout])
   } finally {
     clearTimeout(timer)
+    // A failure in time was thrown by the race; the caller no longer waits for one that comes later.
     pending.catch(() => {})
   }
 }
--- a/src/core/time/repeat.ts
+++ b/src/core/time/repeat.ts
@@ -1,15 +1,17 @@
-/** Work that is done again and again. */
+/** Periodic work with a jittered pause, and a backoff while it fails. */
 
-/** Least part of an interval that is waited, and the random rest, so that processes do not act in step. */
+/**
+ * Least part of a pause that is waited, and the random rest; chosen, not measured: processes must not act in step.
+ */
 const SHORTEST_WAIT = 0.75
 const WAIT_JITTER = 0.5
 
 /**
- * Does work again and again, with a jittered pause in between.
+ * Repeats work with a jittered pause in between.
  *
  * @param intervalMs - mean pause, in milliseconds
- * @param work - the work; the next turn waits for it
- * @param onError - told when a turn fails; such a turn is over, the next one comes as usual
+ * @param work - the work; the pause begins when it has ended
+ * @param onError - called when a turn fails; the next one comes after the backoff
  * @param retryMs - mean pause after a turn that failed, in milliseconds; it doubles from one failure to the next
  * @param greatestRetryMs - greatest such pause, in milliseconds
  * @returns stops it
--- a/src/core/time/waiters.ts
+++ b/src/core/time/waiters.ts
@@ -1,21 +1,21 @@
-/** Waiting for a condition that others make true. */
+/** Waits for conditions that other parts of the process make true, as a long poll does. */
 
-/** Those who wait for something. */
+/** Waits for conditions. */
 interface Waiters {
   /**
-   * Waits until something is there, for a bounded time.
+   * Waits until a value is found, for a bounded time.
    *
-   * @param look - finds it; undefined while it is not there
+   * @param look - looks for the value; undefined while there is none
    * @param timeoutMs - greatest wait, in milliseconds
-   * @returns what was found; undefined when time ran out
+   * @returns the value; undefined when there was none in time
    */
   until: <Value>(look: () => Value | undefined, timeoutMs: number) => Promise<Value | undefined>
-  /** Lets all who wait look again. */
+  /** Makes all waits look again. */
   notify: () => void
 }
 
 /**
- * Creates waiters; nobody waits yet.
+ * Creates a set of waits; none is in progress yet.
  *
  * @returns the waiters
  */
--- a/src/placement/group-homes.ts
+++ b/src/placement/group-homes.ts
@@ -1,17 +1,23 @@
-/** Which processes look after a group: rendezvous hashing, spread over failure domains. */
+/**
+ * Which processes serve a group.
+ *
+ * Inputs: the group, the candidates with their failure domains, how many are wanted. Rule: rendezvous hashing; the best
+ * candidate of each failure domain first, then the best of the others. Why: the loss of a failure domain leaves the
+ * group its other processes, and the loss of a candidate moves only the groups it had.
+ */
 import xxhash from 'xxhash-wasm'
 import { byScore, pairOf, type ScoredHost } from './rendezvous.ts'
 
 const { h64 } = await xxhash()
 
-/** Somebody who can look after groups. */
+/** A process that can serve groups. */
 export interface Candidate {
   host: string
   failureDomain: string
 }
 
 /**
- * Scores a host for a group; the highest scores look after it.
+ * Scores a host for a group; the highest scores serve it.
  *
  * @param group - name of the group
  * @param host - name of the host
@@ -22,9 +28,7 @@
 }
 
 /**
- * Chooses candidates for a group. Every process that sees the same candidates finds the same ones in the same order,
- * and the loss of one candidate moves only the groups it had. The best of each failure domain come first; others follow
- * only when there are too few domains.
+ * Chooses candidates for a group. Every process that knows the same candidates finds the same ones in the same order.
  *
  * @param group - name of the group
  * @param candidates - the candidates
--- a/src/placement/upstream-homes.ts
+++ b/src/placement/upstream-homes.ts
@@ -1,26 +1,32 @@
 /**
- * Which hosts hold the connections to an upstream. An upstream takes a bounded number of connections from all hosts
+ * Which hosts are the homes of an upstream, and how many: the hosts that hold the connections to it.
+ *
+ * Inputs: the cap (connections that the upstream takes from all hosts), its slots (statements that it runs at a time),
+ * its failure domain, the hosts with theirs. Rule: one home for each slot and {@link SPARE_HOMES}, as far as the cap
+ * has {@link CONNECTIONS_PER_HOME} for each, and {@link LEAST_HOMES} at least; the hosts of its own failure domain with
+ * the highest scores, then those of others. Why: an upstream takes a bounded number of connections from all hosts
  * together; where many hosts share it, each would get one or none, and every host would queue by itself. So a few of
- * them, its homes, have several each, and the others pass their statements on to them. A home is a hint for who works
- * best: hosts that see different lists choose different homes, which costs time and breaks nothing.
+ * them, its homes, have several each, and the others pass their statements on to them. A home is a hint: hosts
+ * that see different lists choose different homes, which costs time and breaks nothing.
  */
 import { createHash } from 'node:crypto'
 import { byScore, pairOf } from './rendezvous.ts'
 
 /**
  * Least number of connections that a home has of an upstream's cap. A statement or a transaction takes one; with fewer
- * in one hand, some hosts wait for theirs while those of others are idle.
+ * a home, some homes wait for one while those of others are idle. Chosen, not measured.
  */
 const CONNECTIONS_PER_HOME = 8
 /**
  * Homes of an upstream beyond one for each of its slots. Each home has two statements in progress at least, so that
- * more homes than that send more to the upstream than it can run, where changes then wait behind reads: played with
- * 1.15 times the work that two slots do, 268 of 367 changes were in time with eleven homes, all with three. One more
- * makes up for a home that is gone.
+ * more homes than that send more to the upstream than it can run, where changes then wait behind reads. Measured
+ * with 1.15 times the work that two slots do: 268 of 367 changes were in time with eleven homes, all with three. One
+ * more makes up for a home that is gone.
  */
 const SPARE_HOMES = 1
-/** Least number of homes of an upstream, so that the loss of one leaves another. */
+/** Least number of homes of an upstream. Derived: the loss of one leaves another. */
 const LEAST_HOMES = 2
+
 /** A host that can be a home. */
 export interface PlaceableHost {
   name: string
@@ -35,8 +41,8 @@
   slots: number
 }
 
-/** Scores that are remembered; beyond that they are computed anew. */
-const REMEMBERED_SCORES = 20_000
+/** Scores that are cached; beyond that they are computed anew; chosen, not measured. */
+const CACHED_SCORES = 20_000
 const scores = new Map<string, string>()
 
 /**
@@ -52,7 +58,7 @@
   if (known !== undefined) {
     return known
   }
-  if (scores.size >= REMEMBERED_SCORES) {
+  if (scores.size >= CACHED_SCORES) {
     scores.clear()
   }
   const score = createHash('sha256').update(pair).digest('hex')
@@ -61,9 +67,9 @@
 }
 
 /**
- * Orders hosts for whatever one of them is to do for all, the same way on each host that knows the same ones.
+ * Orders hosts for a duty that one of them has for all, the same way on each host that knows the same ones.
  *
- * @param name - what it is for
+ * @param name - name of the duty, or of what it is for
  * @param hosts - the hosts
  * @returns the hosts, the highest score first
  */
@@ -75,11 +81,11 @@
 }
 
 /**
- * Says how many homes an upstream has.
+ * Computes how many homes an upstream has.
  *
  * @param cap - connections that it takes from all hosts
  * @param slots - statements that it runs at a time
- * @param hosts - number of hosts that are there
+ * @param hosts - number of live hosts
  * @returns their number
  */
 export function countHomes (cap: number, slots: number, hosts: number): number {
@@ -91,7 +97,7 @@
  * Chooses the homes of an upstream: hosts of its own failure domain first, since what reaches it crosses no other one.
  *
  * @param placed - the upstream
- * @param hosts - hosts that are there
+ * @param hosts - the live hosts
  * @param cap - connections that it takes from all hosts
  * @returns its homes, the best first
  */
--- a/src/retries/retry-budget.ts
+++ b/src/retries/retry-budget.ts
@@ -1,8 +1,14 @@
-/** Bounds retries to a part of the requests, so that retries cannot multiply an overload. */
+/**
+ * Whether a retry may be sent.
+ *
+ * Inputs: requests and retries so far. Rule: each request adds {@link EARNED_PER_REQUEST} of a retry to a balance, up
+ * to {@link GREATEST_BALANCE}; a retry takes one, and is not sent when there is none. Why: retries must not multiply an
+ * overload.
+ */
 
-/** Retries earned by each request. */
+/** Retries that each request adds to the balance; chosen, not measured. */
 const EARNED_PER_REQUEST = 0.2
-/** Retries that can be saved up. */
+/** Greatest balance, and the one at the start, in retries; chosen, not measured. */
 const GREATEST_BALANCE = 100
 
 /** A balance of retries. */
