--- a/src/entry/pools/upstream-pool.ts
+++ b/src/entry/pools/upstream-pool.ts
@@ -1,8 +1,8 @@
 /**
  * Connections of this host to one upstream: leases them, opens as many as this host's share allows, and closes idle
  * ones.
- * Relies on idle-connections.ts (which one serves a request), connection-waiters.ts (who gets the next one) and
- * connection-opener.ts (what a failed attempt means); owns the connections in use.
+ * Relies on idle-connections.ts (which one serves a request), connection-waiters.ts (who gets the next one),
+ * connection-opener.ts (what a failed attempt means) and connection-lease.ts (which ones are in use).
  *
  * Rule for a new connection: open connections, those being opened included, stay within the share; an organisation for
  * which none is open takes the place of the connection that has been idle for longest.
@@ -10,6 +10,7 @@
 import { RequestError } from '../../core/errors/index.ts'
 import type { UpstreamConnection, UpstreamPort, UpstreamTarget } from '../ports/index.ts'
 import type { ConnectionLimits } from './connection-limits.ts'
+import { createConnectionLeases } from './connection-lease.ts'
 import { createConnectionOpener, type ConnectionOpener } from './connection-opener.ts'
 import { createConnectionWaiters } from './connection-waiters.ts'
 import { createIdleConnections } from './idle-connections.ts'
@@ -60,26 +61,19 @@
 export function createUpstreamPool (options: UpstreamPoolOptions): UpstreamPool {
   const { target, port, events } = options
   const idle = createIdleConnections()
-  const used = new Set<PooledConnection>()
   const waiters = createConnectionWaiters()
+  const leases = createConnectionLeases({ onRelease: (pooled) => putBack(pooled), onDiscard: () => serveWaiters() })
   let closed = false
 
-  const size = (): number => idle.count + used.size + opener.count
+  const openCount = (): number => idle.count + leases.inUse.size
+  const size = (): number => openCount() + opener.count
   const mayOpen = (): boolean => !closed && size() < options.limits().share && !opener.isPaused
   /** Makes room for one more connection, also by closing an idle one. */
   const makeRoom = (): boolean => !closed && (mayOpen() || idle.closeLongestIdle())
 
-  const lease = (pooled: PooledConnection): ConnectionLease => {
-    used.add(pooled)
-    return leaseOf(pooled, {
-      onEnd: () => used.delete(pooled),
-      onRelease: () => putBack(pooled),
-      onDiscard: () => serveWaiters()
-    })
-  }
   const leaseIdle = (request: LeaseRequest): ConnectionLease | undefined => {
     const ready = idle.takeBest(request)
-    return ready && lease(ready)
+    return ready && leases.lease(ready)
   }
   const putBack = (pooled: PooledConnection): void => {
     closed || pooled.connection.closed ? pooled.connection.close() : idle.add(pooled)
@@ -94,20 +88,18 @@
       void opener.open(organisation)
     }
   }
-  const takeOpened = (connection: UpstreamConnection, organisation: string): void => {
-    events.onAnswer()
-    const pooled = pooledOf(connection, organisation)
-    connection.onClose(() => {
-      if (idle.remove(pooled)) {
-        events.onFault('broken', 'an idle connection was closed')
-      }
-    })
-    putBack(pooled)
+  const takeClosed = (pooled: PooledConnection): void => {
+    if (idle.remove(pooled)) {
+      events.onFault('broken', 'an idle connection was closed')
+    }
   }
   const opener = createConnectionOpener({
     target,
     port,
-    onOpened: takeOpened,
+    onOpened: (connection, organisation) => {
+      events.onAnswer()
+      putBack(pooledOf(connection, organisation, takeClosed))
+    },
     onPauseOver: () => serveWaiters(),
     onFault: (fault, error) => {
       events.onFault(fault, error.message)
@@ -115,14 +107,13 @@
     }
   })
   const trim = setInterval(() => {
-    idle.closeSurplus(used, () => size() > options.limits().kept)
+    idle.closeSurplus(leases.inUse, () => size() > options.limits().kept)
     serveWaiters()
-  }, TRIM_MS)
-  trim.unref()
+  }, TRIM_MS).unref()
 
   return {
     target,
-    get inUse () { return used.size },
+    get inUse () { return leases.inUse.size },
     get waiting () { return waiters.count },
     get size () { return size() },
     get hasRoom () { return idle.count > 0 || mayOpen() },
@@ -134,11 +125,11 @@
       if (ready !== undefined) {
         return ready
       }
-      const wait = waiters.add(request, () => waitedTooLong(target, request.waitMs, idle.count + used.size, opener))
+      const wait = waiters.add(request, () => waitedTooLong(target, request.waitMs, openCount(), opener))
       serveWaiters()
       return await wait.result
     },
-    abortInUse: () => abort(used),
+    abortInUse: leases.abort,
     close: () => {
       closed = true
       clearInterval(trim)
@@ -148,46 +139,12 @@
   }
 }
 
-/** What happens when a lease ends. */
-interface LeaseEnd {
-  /** The lease ended, in one way or the other. */
-  onEnd: () => void
-  onRelease: () => void
-  /** The connection was closed. */
-  onDiscard: () => void
-}
-
-/** A connection with the operations of its user; only the first end of a lease counts. */
-function leaseOf (pooled: PooledConnection, { onEnd, onRelease, onDiscard }: LeaseEnd): ConnectionLease {
-  let done = false
-  const finish = (): boolean => {
-    const first = !done
-    done = true
-    onEnd()
-    return first
-  }
-  return Object.assign(Object.create(pooled) as ConnectionLease, {
-    release: () => {
-      if (finish()) {
-        onRelease()
-      }
-    },
-    discard: () => {
-      if (finish()) {
-        pooled.connection.close()
-        onDiscard()
-      }
-    }
-  })
-}
-
-function pooledOf (connection: UpstreamConnection, organisation: string): PooledConnection {
-  return { connection, organisation, values: new Map(), prepared: new Map(), idleSince: 0 }
-}
-
-function abort (used: ReadonlySet<PooledConnection>): void {
-  const all = [...used]
-  all.forEach(({ connection }) => connection.close())
+function pooledOf (
+  connection: UpstreamConnection, organisation: string, onClose: (pooled: PooledConnection) => void
+): PooledConnection {
+  const pooled = { connection, organisation, values: new Map(), prepared: new Map(), idleSince: 0 }
+  connection.onClose(() => onClose(pooled))
+  return pooled
 }
 
 function leaving ({ upstream }: UpstreamTarget): RequestError {
