--- a/src/entry/desired-state/index.ts
+++ b/src/entry/desired-state/index.ts
@@ -4,8 +4,8 @@
 import { createWaiters } from '../../core/time/waiters.ts'
 import type { DesiredState, StoreRow } from '../ports/index.ts'
 import { followTable } from '../registry/follow-table.ts'
-import '../registry/table-news.ts'
-import '../registry/table-relay.ts'
+import '../registry/change-notifications.ts'
+import '../registry/table-exchange.ts'
 
 /** Service of the plug-in. */
 export interface DesiredStateInForce {
--- a/src/entry/directory/index.ts
+++ b/src/entry/directory/index.ts
@@ -2,8 +2,8 @@
 import { registerPlugin } from '../../core/kernel/index.ts'
 import type { StoreRow } from '../ports/index.ts'
 import { followTable, GATHER_MS } from '../registry/follow-table.ts'
-import '../registry/table-news.ts'
-import '../registry/table-relay.ts'
+import '../registry/change-notifications.ts'
+import '../registry/table-exchange.ts'
 import { createUpstreamDirectory, type DirectoryChange, type UpstreamDirectory } from './upstream-directory.ts'
 
 export type { KnownUpstream } from './upstream-directory.ts'
--- a/src/entry/leadership/close-epoch.ts
+++ b/src/entry/leadership/close-epoch.ts
@@ -6,7 +6,7 @@
 import { isRefusal } from '../../peers/refusal.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
 import { CLOSE_TRY_MS, SILENT_PART } from './consts.ts'
-import { EXTENDED_LEASE_MS, LEASE_MARGIN_MS, PRIMARY_LEASE_MS } from '../registry/consts.ts'
+import { EXTENDED_LEASE_MS, LEASE_MARGIN_MS, PRIMARY_LEASE_MS } from '../registry/lease-times.ts'
 
 /** How it is known that a host does not work at the primary any more. */
 type ClosedBecause = 'acknowledged' | 'told-by-row' | 'not-running' | 'restarted' | 'unregistered' | 'lease-expired' | 'retired'
--- a/src/entry/leadership/index.ts
+++ b/src/entry/leadership/index.ts
@@ -12,7 +12,7 @@
 import { createExtensions } from './extensions.ts'
 import { createRecoveryEstimates, type RecoveryEstimates } from './recovery-estimates.ts'
 import { nameFirstPrimary } from './first-primary.ts'
-import { createLocalClosing } from './stop-local-work.ts'
+import { createLocalWorkStop } from './stop-local-work.ts'
 import { createReachQuestions } from './reach-questions.ts'
 import { createPrimaryLeases, type PrimaryLeases } from './primary-leases.ts'
 import { createStopNotice } from './stop-notice.ts'
@@ -48,7 +48,7 @@
     const rights = createPrimaryLeases(registry)
     const outlook = createRecoveryEstimates()
     const epochs = new Map<string, number>()
-    const closing = createLocalClosing({ registry, directory, pools, rights, logger })
+    const closing = createLocalWorkStop({ registry, directory, pools, rights, logger })
     const stopNotice = createStopNotice({ registry, closing, logger })
     const closeHere = async (group: string, epoch: number): Promise<void> => {
       stopNotice.known(group, epoch)
--- a/src/entry/leadership/primary-leases.ts
+++ b/src/entry/leadership/primary-leases.ts
@@ -4,7 +4,7 @@
  */
 import { createWaiters } from '../../core/time/waiters.ts'
 import type { Registry } from '../registry/index.ts'
-import { EXTENDED_LEASE_MS, PRIMARY_LEASE_MS } from '../registry/consts.ts'
+import { EXTENDED_LEASE_MS, PRIMARY_LEASE_MS } from '../registry/lease-times.ts'
 import type { ClosedEpoch, PrimaryLease } from './types.ts'
 
 /** Leases on primaries. */
--- a/src/entry/leadership/promote.ts
+++ b/src/entry/leadership/promote.ts
@@ -92,7 +92,7 @@
 async function promote (
   options: PromoteOptions, candidate: Candidate, succession: string, closedTerm: number
 ): Promise<Candidate | undefined> {
-  const told = watchClaim(options, candidate, closedTerm)
+  const claimed = watchClaim(options, candidate, closedTerm)
   for (let tries = 1; tries <= ORDER_TRIES; tries++) {
     const outcome = await orderPromotion(options, candidate, succession)
     if (outcome === 'not-running' || (outcome === 'not-ordered' && tries === 1)) {
@@ -102,7 +102,7 @@
       break
     }
   }
-  return await awaitEffect(options, candidate.upstream, told)
+  return await awaitEffect(options, candidate.upstream, claimed)
 }
 
 async function orderPromotion (
--- a/src/entry/leadership/stop-local-work.ts
+++ b/src/entry/leadership/stop-local-work.ts
@@ -3,13 +3,13 @@
 import { pause } from '../../core/time/deadline.ts'
 import type { Directory } from '../directory/index.ts'
 import type { Pools } from '../pools/index.ts'
-import { PRIMARY_LEASE_MS } from '../registry/consts.ts'
+import { PRIMARY_LEASE_MS } from '../registry/lease-times.ts'
 import type { Registry } from '../registry/index.ts'
 import { CLOSING_MS, LAPSE_SLACK_MS } from './consts.ts'
 import type { PrimaryLeases } from './primary-leases.ts'
 
-/** Options of {@link createLocalClosing}. */
-interface LocalClosingOptions {
+/** Options of {@link createLocalWorkStop}. */
+interface LocalWorkStopOptions {
   registry: Pick<Registry, 'current' | 'confirmedAgeMs'>
   directory: Pick<Directory, 'get'>
   pools: Pick<Pools, 'of'>
@@ -18,7 +18,7 @@
 }
 
 /** Ends this host's work at primaries. */
-export interface LocalClosing {
+export interface LocalWorkStop {
   /** Gives up the right to an epoch; what is in progress has a moment to end. */
   close: (group: string, epoch: number) => Promise<void>
   /** Breaks off what is in progress at the primaries of groups when the right has lapsed. */
@@ -34,8 +34,8 @@
  * @param options - the rights and the connections
  * @returns the closing
  */
-export function createLocalClosing ({ registry, directory, pools, rights, logger }: LocalClosingOptions): LocalClosing {
-  let lapsed = false
+export function createLocalWorkStop ({ registry, directory, pools, rights, logger }: LocalWorkStopOptions): LocalWorkStop {
+  let expired = false
 
   const abortAtPrimary = (name: string, reason: string): void => {
     const primary = directory.get(name)
@@ -45,13 +45,13 @@
       pool.abortInUse()
     }
   }
-  const noteLapse = (ageMs: number): void => {
-    const isLapsed = ageMs > PRIMARY_LEASE_MS
-    if (isLapsed === lapsed || !Number.isFinite(ageMs)) {
+  const recordExpiry = (ageMs: number): void => {
+    const isExpired = ageMs > PRIMARY_LEASE_MS
+    if (isExpired === expired || !Number.isFinite(ageMs)) {
       return
     }
-    lapsed = isLapsed
-    logger.log(isLapsed ? 'warn' : 'info', isLapsed ? 'leadership.lease-expired' : 'leadership.lease-regained', {
+    expired = isExpired
+    logger.log(isExpired ? 'warn' : 'info', isExpired ? 'leadership.lease-expired' : 'leadership.lease-regained', {
       ageMs: Math.round(ageMs), confirmedAgeMs: Math.round(registry.confirmedAgeMs())
     })
   }
@@ -71,7 +71,7 @@
     },
     lookAtLapse: (groups) => {
       const ageMs = rights.ageMs()
-      noteLapse(ageMs)
+      recordExpiry(ageMs)
       if (ageMs <= PRIMARY_LEASE_MS + LAPSE_SLACK_MS) {
         return
       }
--- a/src/entry/leadership/stop-notice.ts
+++ b/src/entry/leadership/stop-notice.ts
@@ -7,13 +7,13 @@
 import { pause } from '../../core/time/deadline.ts'
 import type { Registry } from '../registry/index.ts'
 import { ANSWER_LOST_MS, ASKED_TO_STOP_MS } from './consts.ts'
-import type { LocalClosing } from './stop-local-work.ts'
+import type { LocalWorkStop } from './stop-local-work.ts'
 import type { ClosedEpoch } from './types.ts'
 
 /** Options of {@link createStopNotice}. */
 interface StopNoticeOptions {
   registry: Pick<Registry, 'self' | 'current' | 'onChange' | 'tellStopped'>
-  closing: Pick<LocalClosing, 'close'>
+  closing: Pick<LocalWorkStop, 'close'>
   logger: Logger
 }
 
--- a/src/entry/registry/table-news.ts
+++ b/src/entry/registry/change-notifications.ts
@@ -12,7 +12,7 @@
 import type { KnownHost } from './snapshot.ts'
 
 /** Service of the plug-in. */
-export interface TableNews {
+export interface ChangeNotifications {
   /**
    * Tells peers that a table has changed.
    *
@@ -25,7 +25,7 @@
 }
 
 declare module '../../core/kernel/index.ts' {
-  interface Services { tableNews: TableNews }
+  interface Services { tableNews: ChangeNotifications }
 }
 
 /**
@@ -34,12 +34,12 @@
  */
 const FANOUT = 8
 /** Greatest delay before peers are told, in milliseconds: those that have told this host meanwhile know already. */
-const TELL_DELAY_MS = 100
-/** Time that a peer has to take the news, in milliseconds, and how often it is tried: a link may have gone silent. */
-const TELL_MS = 600
-const TELL_TRIES = 2
+const NOTIFY_DELAY_MS = 100
+/** Time that a peer has to take the notification, in milliseconds, and how often it is tried: a link may have gone silent. */
+const NOTIFY_MS = 600
+const NOTIFY_TRIES = 2
 
-const newsSchema = z.object({ table: z.string(), version: z.number(), host: z.string() })
+const notificationSchema = z.object({ table: z.string(), version: z.number(), host: z.string() })
 
 registerPlugin({
   name: 'tableNews',
@@ -50,37 +50,37 @@
     const { logger } = context
     const listeners = new Map<string, Array<(version: number, peer: string) => void>>()
     /** Newest version that each peer has told, by table and peer. */
-    const toldBy = new Map<string, Map<string, number>>()
+    const notifiedBy = new Map<string, Map<string, number>>()
     /** Versions that are about to be told, by table: changes in quick succession are told as one. */
     const pending = new Map<string, number>()
 
-    const knownAt = (table: string, peer: string): number => toldBy.get(table)?.get(peer) ?? -1
-    const noteTold = (table: string, peer: string, version: number): void => {
-      const versions = toldBy.get(table) ?? new Map<string, number>()
+    const knownAt = (table: string, peer: string): number => notifiedBy.get(table)?.get(peer) ?? -1
+    const recordNotified = (table: string, peer: string, version: number): void => {
+      const versions = notifiedBy.get(table) ?? new Map<string, number>()
       versions.set(peer, Math.max(version, knownAt(table, peer)))
-      toldBy.set(table, versions)
+      notifiedBy.set(table, versions)
     }
-    const tellPeer = async (peer: KnownHost, table: string, version: number): Promise<void> => {
-      const news = { table, version, host: registry.self.name }
-      for (let tries = 1; tries <= TELL_TRIES; tries++) {
+    const notifyPeer = async (peer: KnownHost, table: string, version: number): Promise<void> => {
+      const notification = { table, version, host: registry.self.name }
+      for (let tries = 1; tries <= NOTIFY_TRIES; tries++) {
         try {
-          await peers.ask(peer, 'table-news', news, TELL_MS)
+          await peers.ask(peer, 'table-news', notification, NOTIFY_MS)
           return
         } catch (thrown) {
           logger.log('debug', 'registry.peer-silent', { peer: peer.name, reason: describeThrown(thrown) })
         }
       }
     }
-    const tellSome = async (table: string): Promise<void> => {
+    const notifySome = async (table: string): Promise<void> => {
       const version = pending.get(table)!
       pending.delete(table)
       const behind = followersOf(registry.current.liveHosts)
         .filter(({ name }) => name !== registry.self.name && knownAt(table, name) < version)
-      await Promise.all(chooseSome(behind, FANOUT).map(async (peer) => await tellPeer(peer, table, version)))
+      await Promise.all(chooseSome(behind, FANOUT).map(async (peer) => await notifyPeer(peer, table, version)))
     }
     peers.handle('table-news', async (body) => {
-      const { table, version, host } = newsSchema.parse(body)
-      noteTold(table, host, version)
+      const { table, version, host } = notificationSchema.parse(body)
+      recordNotified(table, host, version)
       listeners.get(table)?.forEach((listener) => listener(version, host))
       return {}
     })
@@ -90,7 +90,7 @@
           const before = pending.get(table)
           pending.set(table, Math.max(version, before ?? 0))
           if (before === undefined) {
-            void pause(Math.random() * TELL_DELAY_MS).then(async () => await tellSome(table))
+            void pause(Math.random() * NOTIFY_DELAY_MS).then(async () => await notifySome(table))
           }
         },
         onTold: (table, listener) => { listeners.set(table, [...listeners.get(table) ?? [], listener]) }
--- a/src/entry/registry/follow-table.ts
+++ b/src/entry/registry/follow-table.ts
@@ -8,8 +8,8 @@
 import { repeat } from '../../core/time/repeat.ts'
 import type { StorePort, StoreRow } from '../ports/index.ts'
 import { createTableCopy } from './table-copy.ts'
-import type { TableNews } from './table-news.ts'
-import type { TableRelay } from './table-relay.ts'
+import type { ChangeNotifications } from './change-notifications.ts'
+import type { TableExchange } from './table-exchange.ts'
 
 /**
  * Time after which an empty answer to a question for changes comes, in milliseconds. Calls to the store are priced, and
@@ -41,9 +41,9 @@
   table: string
   logger: Logger
   /** Hears from peers of changes, and tells them. */
-  news: TableNews
+  news: ChangeNotifications
   /** Asks other hosts for the table, and lets them ask this one. */
-  relay: TableRelay
+  relay: TableExchange
   /** Takes the whole table; returns whether anything has changed. */
   onRows: (rows: StoreRow[]) => boolean
   onChanges: (changed: StoreRow[], removed: string[]) => void
--- a/src/entry/registry/neighbour-watch.ts
+++ b/src/entry/registry/host-expiry.ts
@@ -19,8 +19,8 @@
 /** Silence after which a host is retired, in milliseconds: three questions, and longer than a restart takes. */
 const SILENT_MS = 2500
 
-/** Options of {@link watchNeighbour}. */
-interface NeighbourWatchOptions {
+/** Options of {@link watchNextHost}. */
+interface HostExpiryOptions {
   registry: Pick<Registry, 'self' | 'current' | 'peers' | 'write' | 'storeNowAtLeastMs' | 'storeNowAtMostMs'>
   peers: Pick<Peers, 'ask' | 'handle'>
   logger: Logger
@@ -29,17 +29,17 @@
 }
 
 /**
- * Watches the neighbour until closed.
+ * Watches the nextHost until closed.
  *
  * @param options - the registry and the links to peers
  * @returns stops watching
  */
-export function watchNeighbour (options: NeighbourWatchOptions): () => void {
+export function watchNextHost (options: HostExpiryOptions): () => void {
   const { registry, peers, logger } = options
   let silent: { name: string, process: string, since: number } | undefined
   peers.handle('neighbour', async () => ({}))
 
-  const neighbour = (): KnownHost | undefined => {
+  const nextHost = (): KnownHost | undefined => {
     const others = registry.peers().sort((left, right) => left.name < right.name ? -1 : 1)
     return others.find(({ name }) => name > registry.self.name) ?? others[0]
   }
@@ -54,7 +54,7 @@
     logger.log('warn', 'registry.host-retired', { peer: name, process: host.process, refused, written })
   }
   const ask = async (): Promise<void> => {
-    const host = neighbour()
+    const host = nextHost()
     if (host === undefined) {
       return
     }
--- a/src/entry/registry/index.ts
+++ b/src/entry/registry/index.ts
@@ -9,11 +9,11 @@
 import { TIMED_OUT, within } from '../../core/time/deadline.ts'
 import { repeat } from '../../core/time/repeat.ts'
 import type { StoreTransaction } from '../ports/index.ts'
-import { watchNeighbour } from './neighbour-watch.ts'
-import { EXTENDED_LEASE_MS, LEASE_MARGIN_MS } from './consts.ts'
-import { keepLearning } from './learning.ts'
+import { watchNextHost } from './host-expiry.ts'
+import { EXTENDED_LEASE_MS, LEASE_MARGIN_MS } from './lease-times.ts'
+import { keepSnapshotFresh } from './snapshot-refresh.ts'
 import { followersOf } from './readers.ts'
-import { createRelay } from './relay.ts'
+import { createSnapshotExchange } from './snapshot-exchange.ts'
 import { createSnapshot, UNKNOWN_REGISTRY, type KnownHost, type RegistrySnapshot } from './snapshot.ts'
 import type { Registry } from './service.ts'
 import { REGISTRY_TABLE, registryKeys, type HostRow } from './types.ts'
@@ -134,7 +134,7 @@
     const others = (): KnownHost[] => current.liveHosts.filter(({ name }) => name !== self.name)
     /** Whether others may rely on what this host reads. */
     const isReading = (): boolean => storeAnswers && performance.now() - readAt < READING_MS
-    const relay = createRelay({ peers, logger, current: () => current, isReading, takeOver })
+    const relay = createSnapshotExchange({ peers, logger, current: () => current, isReading, takeOver })
 
     /** Learns what a peer has written from that peer: 71 hosts would read the store 70 times for each change. */
     const learnFromTeller = async (name: string): Promise<void> => {
@@ -149,7 +149,7 @@
       void learnFromTeller(link.host)
       return {}
     })
-    const stopLearning = keepLearning({
+    const stopLearning = keepSnapshotFresh({
       name: self.name,
       current: () => current,
       confirmedAgeMs: () => performance.now() - confirmedAt,
@@ -219,7 +219,7 @@
       storeNowAtMostMs: () => performance.now() + clockOffsets.most
     }
     const rightMs = EXTENDED_LEASE_MS + LEASE_MARGIN_MS
-    const stopWatching = watchNeighbour({ registry: service, peers, logger, rightMs })
+    const stopWatching = watchNextHost({ registry: service, peers, logger, rightMs })
 
     return {
       service,
--- a/src/entry/registry/avoidance.ts
+++ b/src/entry/registry/recent-failures.ts
@@ -2,10 +2,10 @@
 import type { KnownHost } from './snapshot.ts'
 
 /** Time for which a host that brought nothing is asked after the others, in milliseconds: a restart takes less. */
-const AVOID_MS = 2000
+const REMEMBER_MS = 2000
 
 /** Hosts that are asked after others. */
-interface Avoidance {
+interface RecentFailures {
   /** Takes note that a host brought nothing. */
   note: (host: KnownHost) => void
   /**
@@ -22,11 +22,11 @@
  *
  * @returns the memory
  */
-export function createAvoidance (): Avoidance {
+export function createRecentFailures (): RecentFailures {
   const until = new Map<string, number>()
   const isAvoided = ({ name }: KnownHost): boolean => (until.get(name) ?? 0) > performance.now()
   return {
-    note: ({ name }) => { until.set(name, performance.now() + AVOID_MS) },
+    note: ({ name }) => { until.set(name, performance.now() + REMEMBER_MS) },
     order: (hosts) => [...hosts.filter((host) => !isAvoided(host)), ...hosts.filter(isAvoided)]
   }
 }
--- a/src/entry/registry/relay.ts
+++ b/src/entry/registry/snapshot-exchange.ts
@@ -5,7 +5,7 @@
 import { createWaiters } from '../../core/time/waiters.ts'
 import type { Peers } from '../../peers/index.ts'
 import { createSnapshot, type KnownHost, type RegistrySnapshot } from './snapshot.ts'
-import { relayedSnapshotSchema, snapshotQuestionSchema, type RelayedSnapshot } from './types.ts'
+import { snapshotReplySchema, snapshotQuestionSchema, type SnapshotReply } from './types.ts'
 
 /** Time a reader has to answer, in milliseconds; who gets no answer asks the next one. */
 const READER_MS = 300
@@ -19,8 +19,8 @@
 /** Peers asked in one round. */
 const PEERS_ASKED = 3
 
-/** Options of {@link createRelay}. */
-interface RelayOptions {
+/** Options of {@link createSnapshotExchange}. */
+interface SnapshotExchangeOptions {
   peers: Pick<Peers, 'ask' | 'handle'>
   logger: Logger
   current: () => RegistrySnapshot
@@ -30,7 +30,7 @@
 }
 
 /** Brings the registry as peers know it. */
-export interface Relay {
+export interface SnapshotExchange {
   /** Takes note that this host has learnt something new: held questions are answered. */
   changed: () => void
   /**
@@ -56,8 +56,8 @@
  * @param askedAt - when it was asked, on the steady clock
  * @returns the snapshot; undefined when it cannot be built of this
  */
-export function mergeRelayed (
-  before: RegistrySnapshot, { version, rows, digest, ageMs, isChange = false }: RelayedSnapshot, askedAt: number
+export function mergeSnapshotReply (
+  before: RegistrySnapshot, { version, rows, digest, ageMs, isChange = false }: SnapshotReply, askedAt: number
 ): RegistrySnapshot | undefined {
   if (rows === undefined) {
     return digest === before.digest ? { ...before, version, askedAt: askedAt - ageMs } : undefined
@@ -77,14 +77,14 @@
  * @param options - the links, and what this host knows
  * @returns the relay
  */
-export function createRelay ({ peers, logger, current, isReading, takeOver }: RelayOptions): Relay {
+export function createSnapshotExchange ({ peers, logger, current, isReading, takeOver }: SnapshotExchangeOptions): SnapshotExchange {
   let round = 0
   const waiters = createWaiters()
 
-  peers.handle('registry-snapshot', async (body): Promise<RelayedSnapshot> => {
+  peers.handle('registry-snapshot', async (body): Promise<SnapshotReply> => {
     const { digest: known, version: since, holdMs = 0 } = snapshotQuestionSchema.parse(body)
-    const hasNews = (): boolean => current().digest !== known && current().version >= (since ?? 0)
-    await waiters.until(() => hasNews() || !isReading() || undefined, Math.min(HOLD_MS, holdMs))
+    const hasNewer = (): boolean => current().digest !== known && current().version >= (since ?? 0)
+    await waiters.until(() => hasNewer() || !isReading() || undefined, Math.min(HOLD_MS, holdMs))
     const { version, rows, digest, askedAt } = current()
     if (since !== undefined && since > version) {
       return { version, digest, ageMs: performance.now() - askedAt, isReading: isReading() }
@@ -102,14 +102,14 @@
     // The answer is made after this moment, so counting its age from here takes nothing for younger than it is.
     const askedAt = performance.now()
     const before = current()
-    const askWith = async (question: z.infer<typeof snapshotQuestionSchema>): Promise<RelayedSnapshot> =>
-      relayedSnapshotSchema.parse(await peers.ask(peer, 'registry-snapshot', question, timeoutMs + holdMs))
+    const askWith = async (question: z.infer<typeof snapshotQuestionSchema>): Promise<SnapshotReply> =>
+      snapshotReplySchema.parse(await peers.ask(peer, 'registry-snapshot', question, timeoutMs + holdMs))
     try {
       const reply = await askWith({ digest: before.digest, version: before.version, holdMs })
       if (reply.version < before.version) {
         return reply.isReading
       }
-      const merged = mergeRelayed(before, reply, askedAt)
+      const merged = mergeSnapshotReply(before, reply, askedAt)
       if (merged !== undefined) {
         takeOver(merged)
         return reply.isReading
--- a/src/entry/registry/learning.ts
+++ b/src/entry/registry/snapshot-refresh.ts
@@ -1,9 +1,9 @@
 /** Brings the registry from hosts that read it for others, so that few hosts ask the store. */
 import { pause } from '../../core/time/deadline.ts'
 import { repeat } from '../../core/time/repeat.ts'
-import { createAvoidance } from './avoidance.ts'
+import { createRecentFailures } from './recent-failures.ts'
 import { followersOf, orderFor, readersOf } from './readers.ts'
-import type { Relay } from './relay.ts'
+import type { SnapshotExchange } from './snapshot-exchange.ts'
 import type { KnownHost, RegistrySnapshot } from './snapshot.ts'
 
 /**
@@ -18,7 +18,7 @@
  */
 const HELD_AGE_MS = 1000
 /** Pause after nobody knew anything younger, in milliseconds: a stand-in begins to read meanwhile. */
-const FRUITLESS_PAUSE_MS = 300
+const FAILURE_PAUSE_MS = 300
 /** Greatest age of what a reader passes on, in milliseconds; a host that learns nothing younger asks the next one. */
 const RELAYED_AGE_MS = 1900
 /** Readers that are asked in one turn. Each may be silent for 0.3 s, and a right lasts for three seconds. */
@@ -31,15 +31,15 @@
 /** Least time between two reads of a host that reads for others, in milliseconds. */
 const READ_PAUSE_MS = POLL_MS - ASK_PAUSE_MS
 
-/** Options of {@link keepLearning}. */
-interface LearningOptions {
+/** Options of {@link keepSnapshotFresh}. */
+interface RefreshOptions {
   name: string
   current: () => RegistrySnapshot
   /** Time since this process was last confirmed as registered, in milliseconds. */
   confirmedAgeMs: () => number
   /** Greatest age of a confirmation with which this process counts as registered, in milliseconds. */
   registeredMs: number
-  relay: Pick<Relay, 'askReader'>
+  relay: Pick<SnapshotExchange, 'askReader'>
   /** Reads the store and registers this process; returns whether that came about. */
   readAndRegister: () => Promise<boolean>
   onError: (thrown: unknown) => void
@@ -52,9 +52,9 @@
  * @param options - what is known, and how more is learnt
  * @returns stops learning
  */
-export function keepLearning (options: LearningOptions): () => void {
+export function keepSnapshotFresh (options: RefreshOptions): () => void {
   const { name, current, confirmedAgeMs, registeredMs, relay, readAndRegister } = options
-  const avoidance = createAvoidance()
+  const recentFailures = createRecentFailures()
 
   const isReader = (): boolean => readersOf(current().liveHosts).some((reader) => reader.name === name)
   const placeAmongFollowers = (): number => followersOf(current().liveHosts).findIndex((host) => host.name === name)
@@ -66,7 +66,7 @@
    * Other followers that read when readers can't; of these each asks those before itself, so that one reads for all. A
    * host that the store turns away reads for nobody, and asks those behind it as well.
    */
-  const standIns = (): KnownHost[] => {
+  const deputies = (): KnownHost[] => {
     const place = placeAmongFollowers()
     const followers = followersOf(current().liveHosts)
     return isTurnedAway || isReader() || place < 0 ? followers : followers.slice(0, place)
@@ -74,9 +74,9 @@
   /** Hosts that may have read the registry; those that do not read, or brought nothing young, come last. */
   const readers = (): KnownHost[] => {
     const { liveHosts } = current()
-    const known = [...orderFor(name, liveHosts, readersOf(liveHosts)), ...standIns()]
+    const known = [...orderFor(name, liveHosts, readersOf(liveHosts)), ...deputies()]
     const others = [...new Set(known)].filter((reader) => reader.name !== name)
-    return avoidance.order(others).slice(0, READERS_ASKED)
+    return recentFailures.order(others).slice(0, READERS_ASKED)
   }
   const learnFromReaders = async (): Promise<boolean> => {
     if (confirmedAgeMs() >= registeredMs) {
@@ -86,7 +86,7 @@
       if (await relay.askReader(reader, ageMs() < HELD_AGE_MS) && isYoung()) {
         return true
       }
-      avoidance.note(reader)
+      recentFailures.note(reader)
     }
     return false
   }
@@ -103,7 +103,7 @@
       return
     }
     if (!await learnFromReaders()) {
-      await pause(FRUITLESS_PAUSE_MS)
+      await pause(FAILURE_PAUSE_MS)
     }
   }
   /** Learns from readers, and reads the store when they bring nothing young. */
@@ -114,7 +114,7 @@
     if (isDue(placeAmongFollowers() < 0 ? OWN_READ_PAUSE_MS : READ_PAUSE_MS)) {
       await readNow()
     }
-    await pause(FRUITLESS_PAUSE_MS)
+    await pause(FAILURE_PAUSE_MS)
   }
   return repeat(ASK_PAUSE_MS, async () => {
     current().version < 0 || isReader() ? await lead() : await learn()
--- a/src/entry/registry/table-copy.ts
+++ b/src/entry/registry/table-copy.ts
@@ -76,7 +76,7 @@
       ? { version, isWhole: true, rows: [...rows.values()], removed: [] }
       : changedSince(after)
   }
-  const isNews = ({ isWhole, rows, removed }: TableChanges): boolean =>
+  const hasChanges = ({ isWhole, rows, removed }: TableChanges): boolean =>
     isWhole || rows.length > 0 || removed.length > 0
   return {
     get readAt () { return readAt },
@@ -105,7 +105,7 @@
     changesSince: async (after, holdMs) => {
       const found = await waiters.until(() => {
         const changes = look(after)
-        return changes !== undefined && isNews(changes) ? changes : undefined
+        return changes !== undefined && hasChanges(changes) ? changes : undefined
       }, holdMs)
       return found ?? look(after)
     }
--- a/src/entry/registry/table-relay.ts
+++ b/src/entry/registry/table-exchange.ts
@@ -7,13 +7,13 @@
 import { describeThrown } from '../../core/errors/index.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
 import { createWaiters } from '../../core/time/waiters.ts'
-import { createAvoidance } from './avoidance.ts'
+import { createRecentFailures } from './recent-failures.ts'
 import { followersOf, orderFor } from './readers.ts'
 import type { KnownHost } from './snapshot.ts'
 import type { TableChanges, TableCopy } from './table-copy.ts'
 
 /** Service of the plug-in. */
-export interface TableRelay {
+export interface TableExchange {
   /** Waits until this host knows which others there are, for a bounded time. */
   hostsKnown: () => Promise<void>
   /** Whether this host follows tables by itself. */
@@ -40,7 +40,7 @@
 }
 
 declare module '../../core/kernel/index.ts' {
-  interface Services { tableRelay: TableRelay }
+  interface Services { tableRelay: TableExchange }
 }
 
 /**
@@ -89,7 +89,7 @@
     const { logger } = context
     const { self } = registry
     const copies = new Map<string, { copy: TableCopy, readAnew: () => void }>()
-    const avoidance = createAvoidance()
+    const recentFailures = createRecentFailures()
     const hostsKnown = createWaiters()
     const relievedListeners: Array<() => void> = []
     let wasFollower = false
@@ -105,7 +105,7 @@
     const others = (): KnownHost[] => {
       const { liveHosts } = registry.current
       const ordered = orderFor(self.name, liveHosts, followersOf(liveHosts))
-      return avoidance.order(ordered.filter(({ name }) => name !== self.name))
+      return recentFailures.order(ordered.filter(({ name }) => name !== self.name))
     }
     const isFollower = (): boolean => followersOf(registry.current.liveHosts).some(({ name }) => name === self.name)
     /** A question that is given up early must not break the link, which others use. */
@@ -130,7 +130,7 @@
         if (changes !== undefined) {
           return changes
         }
-        avoidance.note(host)
+        recentFailures.note(host)
       }
       return undefined
     }
--- a/src/entry/registry/types.ts
+++ b/src/entry/registry/types.ts
@@ -82,7 +82,7 @@
 })
 
 /** A snapshot of the table as peers pass it on. */
-export const relayedSnapshotSchema = z.object({
+export const snapshotReplySchema = z.object({
   version: z.number(),
   digest: z.string(),
   /** All rows, or those that have changed since the version that was named; left out when who asks has them. */
@@ -96,4 +96,4 @@
 })
 
 /** A snapshot of the table as peers pass it on. */
-export type RelayedSnapshot = z.infer<typeof relayedSnapshotSchema>
+export type SnapshotReply = z.infer<typeof snapshotReplySchema>
--- a/test/entry/process/failover-time.test.ts
+++ b/test/entry/process/failover-time.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { EXTENDED_LEASE_MS, LEASE_MARGIN_MS } from '../../../src/entry/registry/consts.ts'
+import { EXTENDED_LEASE_MS, LEASE_MARGIN_MS } from '../../../src/entry/registry/lease-times.ts'
 import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
 describe('the time of a failover', () => {
--- a/test/entry/registry/relay.test.ts
+++ b/test/entry/registry/snapshot-exchange.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { mergeRelayed } from '../../../src/entry/registry/relay.ts'
+import { mergeSnapshotReply } from '../../../src/entry/registry/snapshot-exchange.ts'
 import { createSnapshot } from '../../../src/entry/registry/snapshot.ts'
 import type { StoreRow } from '../../../src/entry/ports/index.ts'
 
@@ -15,7 +15,7 @@
 describe('a registry that a peer passes on', () => {
   it('is built of what has changed, as old as the peer has told', () => {
     const now = createSnapshot([hostRow('a', 3), hostRow('aa', 9), hostRow('b', 8)], 9, 900)
-    const merged = mergeRelayed(before, {
+    const merged = mergeSnapshotReply(before, {
       version: 9, digest: now.digest, rows: [hostRow('aa', 9), hostRow('b', 8)], isChange: true, ageMs: 100, isReading: true
     }, ASKED_AT)
     expect({ ...merged, group: 0 }).toEqual({ ...now, askedAt: 900, group: 0 })
@@ -24,17 +24,17 @@
   it('is asked for whole when rows were removed, which a change does not show', () => {
     const now = createSnapshot([hostRow('b', 5)], 9, 900)
     const reply = { version: 9, digest: now.digest, rows: [], isChange: true, ageMs: 0, isReading: true }
-    expect(mergeRelayed(before, reply, ASKED_AT)).toEqual(undefined)
+    expect(mergeSnapshotReply(before, reply, ASKED_AT)).toEqual(undefined)
   })
 
   it('is what stood before, only younger, when nothing has changed', () => {
-    const merged = mergeRelayed(before, { version: 12, digest: before.digest, ageMs: 20, isReading: true }, ASKED_AT)
+    const merged = mergeSnapshotReply(before, { version: 12, digest: before.digest, ageMs: 20, isReading: true }, ASKED_AT)
     expect({ version: merged?.version, askedAt: merged?.askedAt, rows: merged?.rows })
       .toEqual({ version: 12, askedAt: 980, rows: before.rows })
   })
 
   it('replaces what stood before when it comes whole', () => {
-    const merged = mergeRelayed(before, { version: 9, digest: 'd', rows: [hostRow('c', 9)], ageMs: 0, isReading: true }, ASKED_AT)
+    const merged = mergeSnapshotReply(before, { version: 9, digest: 'd', rows: [hostRow('c', 9)], ageMs: 0, isReading: true }, ASKED_AT)
     expect(merged?.hosts.map(({ name }) => name)).toEqual(['c'])
   })
 })
--- a/test/entry/registry/learning.test.ts
+++ b/test/entry/registry/snapshot-refresh.test.ts
@@ -2,7 +2,7 @@
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { expect } from 'earl'
 import { EXTEND_AFTER_MS } from '../../../src/entry/leadership/consts.ts'
-import { keepLearning, POLL_MS } from '../../../src/entry/registry/learning.ts'
+import { keepSnapshotFresh, POLL_MS } from '../../../src/entry/registry/snapshot-refresh.ts'
 import { followersOf, readersOf } from '../../../src/entry/registry/readers.ts'
 import { UNKNOWN_REGISTRY, type KnownHost, type RegistrySnapshot } from '../../../src/entry/registry/snapshot.ts'
 import { MONEY } from '../../fixtures/fleet/set-up.ts'
@@ -30,7 +30,7 @@
   private readonly stop: () => void
 
   constructor (name: string, reading: string) {
-    this.stop = keepLearning({
+    this.stop = keepSnapshotFresh({
       name,
       current: () => this.snapshot,
       confirmedAgeMs: () => this.ageMs(),
