--- a/src/entry/directory/index.ts
+++ b/src/entry/directory/index.ts
@@ -47,8 +47,8 @@
       store,
       table: port.table,
       logger: context.logger,
-      news: context.use('tableNews'),
-      relay: context.use('tableRelay'),
+      notifications: context.use('tableNews'),
+      exchange: context.use('tableRelay'),
       onRows: (rows) => {
         const changes = directory.replace(decode(rows))
         tell(changes)
--- a/src/entry/leadership/close-epoch.ts
+++ b/src/entry/leadership/close-epoch.ts
@@ -1,15 +1,20 @@
-/** Makes sure that no host works at a primary any more before another upstream is promoted. */
+/**
+ * Waits until no host works at the primary of a closed epoch, before another upstream is promoted. A host counts as
+ * stopped when it has acknowledged the order, when its row shows so, when it is retired, when it refuses connections,
+ * when it runs as another process, when its row is gone, or when its leases have expired (`silent-leases.ts`).
+ */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import type { Peers } from '../../peers/index.ts'
 import { isRefusal } from '../../peers/refusal.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
-import { CLOSE_TRY_MS, SILENT_PART } from './consts.ts'
-import { EXTENDED_LEASE_MS, LEASE_MARGIN_MS, PRIMARY_LEASE_MS } from '../registry/lease-times.ts'
+import { REACH_HOST_MS } from './probe-times.ts'
+import { silentLeasesExpireAt, type ClosingProgress } from './silent-leases.ts'
 
-/** How it is known that a host does not work at the primary any more. */
-type ClosedBecause = 'acknowledged' | 'told-by-row' | 'not-running' | 'restarted' | 'unregistered' | 'lease-expired' | 'retired'
+/** Why a host counts as stopped. */
+type ClosedBecause =
+  'acknowledged' | 'told-by-row' | 'not-running' | 'restarted' | 'unregistered' | 'lease-expired' | 'retired'
 
 /** Options of {@link awaitClosed}. */
 interface ClosingOptions {
@@ -18,28 +23,15 @@
   registry: Registry
   peers: Peers
   logger: Logger
-  /** When it was certain that no host could be confirmed in this epoch any more, on the steady clock. */
+  /** When it was certain that no host could be confirmed in this epoch any longer, on the steady clock. */
   closedAt: number
 }
 
-/** Pause before a silent host is asked again, in milliseconds. */
+/** Pause before a silent host is asked again, in milliseconds: chosen, not measured. */
 const RETRY_MS = 100
 
-/** What is known of the hosts while one waits for them. */
-interface ClosingProgress {
-  /** Hosts that were registered, this one included. */
-  hosts: number
-  /** Hosts that have not been heard yet. */
-  silent: number
-  /** When the last of the others stopped, on the steady clock. */
-  lastStoppedAt: number
-}
-
 /**
- * Waits until no host works at the primary of an epoch. A host that answers stops at once; one that refuses
- * connections does not run; one that runs as another process has no right of its former life;
- * one that hears the store but no peer says in its row that it has stopped; and the right of one that stays silent has
- * lapsed after a while.
+ * Waits until no host works at the primary of an epoch.
  *
  * @param options - the group and the epoch
  */
@@ -57,16 +49,6 @@
   }))
 }
 
-/**
- * Returns when the rights of silent hosts have lapsed. With few of them no majority can extend their rights any more
- * once the others have stopped; with many, only the greatest age of a confirmation counts.
- */
-function lapsesAt ({ hosts, silent, lastStoppedAt }: ClosingProgress, closedAt: number): number {
-  return silent <= hosts * SILENT_PART
-    ? lastStoppedAt + PRIMARY_LEASE_MS + LEASE_MARGIN_MS
-    : closedAt + EXTENDED_LEASE_MS + LEASE_MARGIN_MS
-}
-
 async function awaitHost (host: KnownHost, options: ClosingOptions, progress: ClosingProgress): Promise<ClosedBecause> {
   const { registry, peers, group, epoch, closedAt, logger } = options
   for (;;) {
@@ -80,15 +62,15 @@
     if (now.retiredUntilMs !== undefined && registry.storeNowAtLeastMs() >= now.retiredUntilMs) {
       return 'retired'
     }
-    // A host that was given up and is back may be the same process, which has not read the table yet: it is asked.
+    // A retired host that is back may be the same process, which has not read the table yet: it is asked.
     if (host.retiredUntilMs === undefined && now.retiredUntilMs === undefined && now.process !== host.process) {
       return 'restarted'
     }
-    if (performance.now() >= lapsesAt(progress, closedAt)) {
+    if (performance.now() >= silentLeasesExpireAt(progress, closedAt)) {
       return 'lease-expired'
     }
     try {
-      await peers.ask(host, 'close-group', { group, epoch }, CLOSE_TRY_MS)
+      await peers.ask(host, 'close-group', { group, epoch }, REACH_HOST_MS)
       return 'acknowledged'
     } catch (thrown) {
       if (isRefusal(thrown)) {
--- a/src/entry/leadership/extensions.ts
+++ b/src/entry/leadership/extensions.ts
@@ -1,7 +1,12 @@
 /**
- * Extends this host's rights while the store does not answer it: a majority of the registered hosts, itself included,
- * grants a short time more. A host that has stopped working at a primary says so with its grant, so that a promoter
- * which has stopped enough hosts need not wait longer for one that is silent.
+ * Decides when this host's leases on primaries are extended without the store, and grants extensions to others.
+ *
+ * - Inputs: the age of the last confirmation (milliseconds), and the grants of the other live hosts.
+ * - Rule: once the confirmation is older than {@link EXTEND_AFTER_MS}, all live hosts are asked each
+ *   {@link EXTEND_INTERVAL_MS}; with a majority of them, this one included, the leases count from sending the question.
+ *   A host grants when it knows the process that asks as live. `primary-leases.ts` bounds the extensions.
+ * - Why: an outage of the store must not stop all work at primaries. A grant names the epochs that are closed on the
+ *   granting host, so that a promoter which has stopped enough hosts need not wait longer for one that is silent.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -9,37 +14,46 @@
 import type { Peers } from '../../peers/index.ts'
 import { PRIMARY_LEASE_MS } from '../registry/lease-times.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
-import { EXTEND_AFTER_MS, EXTEND_LOOK_MS, GRANT_MS } from './consts.ts'
 import type { PrimaryLeases } from './primary-leases.ts'
 import { extendQuestionSchema, grantSchema, type Grant } from './types.ts'
 
+/**
+ * Age of the last confirmation by the store from which on peers are asked for extensions, in milliseconds: derived, one
+ * read has failed.
+ */
+export const EXTEND_AFTER_MS = 2100
+/** Time between two looks at that age, in milliseconds: derived, several fit into a lease. */
+const EXTEND_INTERVAL_MS = 600
+/** Time that a peer has to grant an extension, in milliseconds: chosen, not measured. */
+const GRANT_MS = 500
+
 /** Options of {@link createExtensions}. */
 interface ExtensionOptions {
   registry: Pick<Registry, 'self' | 'current' | 'peers' | 'confirmedAgeMs'>
   peers: Pick<Peers, 'ask' | 'handle'>
-  rights: Pick<PrimaryLeases, 'close' | 'closed' | 'extend'>
+  primaryLeases: Pick<PrimaryLeases, 'close' | 'closed' | 'extend'>
   logger: Logger
 }
 
 /**
  * Asks for extensions when they are needed, and grants them to others.
  *
- * @param options - the registry, the links and the rights
+ * @param options - the registry, the links and the leases
  * @returns stops asking
  */
-export function createExtensions ({ registry, peers, rights, logger }: ExtensionOptions): () => void {
+export function createExtensions ({ registry, peers, primaryLeases, logger }: ExtensionOptions): () => void {
   let extending = false
 
   peers.handle('extend', async (body): Promise<Grant> => {
     const { host, process } = extendQuestionSchema.parse(body)
     const known = registry.current.liveHosts.find(({ name }) => name === host)
-    return { granted: known?.process === process, closed: rights.closed() }
+    return { granted: known?.process === process, closed: primaryLeases.closed() }
   })
   const ask = async (peer: KnownHost): Promise<boolean> => {
     try {
       const question = { host: registry.self.name, process: registry.self.process }
       const { granted, closed } = grantSchema.parse(await peers.ask(peer, 'extend', question, GRANT_MS))
-      closed.forEach(({ group, epoch }) => rights.close(group, epoch))
+      closed.forEach(({ group, epoch }) => primaryLeases.close(group, epoch))
       return granted
     } catch (thrown) {
       logger.log('debug', 'registry.peer-silent', { peer: peer.name, reason: describeThrown(thrown) })
@@ -54,7 +68,7 @@
       const granted = await ask(peer)
       grants += granted ? 1 : 0
       if (grants * 2 > others.length + 1) {
-        rights.extend(askedAt)
+        primaryLeases.extend(askedAt)
       }
     }))
     const enough = grants * 2 > others.length + 1
@@ -68,7 +82,7 @@
       })
     }
   }
-  return repeat(EXTEND_LOOK_MS, async () => {
+  return repeat(EXTEND_INTERVAL_MS, async () => {
     if (registry.confirmedAgeMs() > EXTEND_AFTER_MS && Number.isFinite(registry.confirmedAgeMs())) {
       await extend()
     } else {
--- a/src/entry/leadership/failover.ts
+++ b/src/entry/leadership/failover.ts
@@ -14,10 +14,21 @@
 import { registryKeys, type GroupRow } from '../registry/index.ts'
 import { comparePositions, formatPosition, type LogPosition } from '../../positions/position.ts'
 import { awaitClosed } from './close-epoch.ts'
-import { CATCH_UP_MS, LEASE_RENEW_MS, PROBE_MS, SUCCESSOR_POLL_MS } from './consts.ts'
-import { promoteOne, type Candidate, type PromoteOptions } from './promote.ts'
+import type { Candidate } from './choose-successor.ts'
+import { PROBE_MS, SUCCESSOR_POLL_MS } from './probe-times.ts'
+import { promoteOne, type PromoteOptions } from './promote.ts'
 import type { FailoverReason } from './types.ts'
 
+/**
+ * Time between two renewals of the promotion lease while hosts are waited for, in milliseconds: chosen, not measured.
+ */
+const LEASE_RENEW_MS = 1500
+/**
+ * Time that a successor has to catch up with a primary that was stopped in order, in milliseconds: chosen, not
+ * measured.
+ */
+const CATCH_UP_MS = 1000
+
 /** Options of {@link runFailover}. */
 interface FailoverOptions extends PromoteOptions {
   reason: FailoverReason
@@ -25,6 +36,7 @@
   epoch: number
   /** Since when this host has known that the epoch is closed, on the steady clock; undefined when it is not. */
   closedSince?: number
+  /** Stops this host's work at the primary of an epoch. */
   closeHere: (epoch: number) => Promise<void>
   directory: Pick<Directory, 'get' | 'ofGroup'>
   pools: Pick<Pools, 'probe' | 'demote'>
@@ -32,7 +44,7 @@
 }
 
 /**
- * Runs a succession as far as it gets.
+ * Runs a failover as far as it gets.
  *
  * @param options - the group and everything needed
  * @returns the new primary; undefined when it must be tried again
@@ -40,20 +52,20 @@
 export async function runFailover (options: FailoverOptions): Promise<string | undefined> {
   const { group, logger, registry, reason } = options
   const before = registry.current.group(group)
-  if (before.row?.epoch !== options.epoch || await options.duty.hold() === undefined) {
+  if (before.row?.epoch !== options.epoch || await options.promotionLease.hold() === undefined) {
     return undefined
   }
   logger.log('warn', 'failover.started', {
     group, reason, primary: before.row.primary, epoch: before.row.epoch, registryVersion: registry.current.version
   })
-  const succession = randomUUID()
-  const closedAt = await closeEpoch(options, before.row, before.version, succession)
+  const failoverId = randomUUID()
+  const closedAt = await closeEpoch(options, before.row, before.version, failoverId)
   if (closedAt === undefined) {
     return undefined
   }
   const { epoch, primary } = before.row
   const old = options.directory.get(primary)
-  const stopRenewing = repeat(LEASE_RENEW_MS, async () => { await options.duty.hold() })
+  const stopRenewing = repeat(LEASE_RENEW_MS, async () => { await options.promotionLease.hold() })
   const closed = Promise.all([options.closeHere(epoch), awaitClosed({ ...options, epoch, closedAt })])
   // A primary that is out of reach is not waited for once no host works there: it answers nothing for a whole probe.
   const isOutOfReach = reason === 'unreachable'
@@ -64,28 +76,28 @@
     closed
   ]).finally(stopRenewing)
   const caughtUp = stopped === undefined ? reports : await awaitCatchUp(options, stopped.received, primary)
-  const successor = await promoteOne(options, caughtUp, { ...before.row, succession }, closedAt)
-  return successor === undefined ? undefined : await openEpoch(options, successor, succession)
+  const successor = await promoteOne(options, caughtUp, { ...before.row, succession: failoverId }, closedAt)
+  return successor === undefined ? undefined : await openEpoch(options, successor, failoverId)
 }
 
 /**
  * Writes that the epoch is closed; returns when that was certain. A row that is closed already is written again, so
- * that whatever another succession has sent to the store and not heard of cannot be carried out any more.
+ * that a write of another failover that is still on its way to the store no longer meets its condition.
  */
 async function closeEpoch (
-  options: FailoverOptions, row: GroupRow, version: number, succession: string
+  options: FailoverOptions, row: GroupRow, version: number, failoverId: string
 ): Promise<number | undefined> {
   const { registry, knownTerm, closedSince } = options
   const now = await writeRow(options, version, 'close', {
-    ...row, state: 'closed', term: Math.max(row.term, knownTerm), writtenBy: registry.self.name, succession
+    ...row, state: 'closed', term: Math.max(row.term, knownTerm), writtenBy: registry.self.name, succession: failoverId
   })
-  if (now?.state !== 'closed' || now.succession !== succession) {
+  if (now?.state !== 'closed' || now.succession !== failoverId) {
     return undefined
   }
   return row.state === 'closed' ? closedSince ?? performance.now() : performance.now()
 }
 
-/** Writes the row of the group; returns the row as it then stands, whether or not the answer to the write came. */
+/** Writes the row of the group; returns the row after that, whether or not the answer to the write came. */
 async function writeRow (
   { group, registry, logger }: FailoverOptions, version: number, step: 'close' | 'open', row: GroupRow
 ): Promise<GroupRow | undefined> {
@@ -118,7 +130,7 @@
   return report
 }
 
-/** Asks the upstreams of the group what they are. */
+/** Asks the upstreams of the group for their reports. */
 async function askAll ({ group, directory, pools }: FailoverOptions, except?: string): Promise<Candidate[]> {
   const asked = directory.ofGroup(group).filter(({ upstream }) => upstream !== except)
   const answers = await Promise.all(asked.map(async (upstream) => {
@@ -145,12 +157,12 @@
 }
 
 async function openEpoch (
-  options: FailoverOptions, { upstream, report }: Candidate, succession: string
+  options: FailoverOptions, { upstream, report }: Candidate, failoverId: string
 ): Promise<string | undefined> {
   const { group, registry, logger } = options
   await registry.refresh()
   const { row, version } = registry.current.group(group)
-  if (row?.succession !== succession) {
+  if (row?.succession !== failoverId) {
     return undefined
   }
   const now = await writeRow(options, version, 'open', {
--- a/src/entry/leadership/first-primary.ts
+++ b/src/entry/leadership/first-primary.ts
@@ -1,4 +1,4 @@
-/** Names the first primary of a group: the one upstream that takes itself for it. */
+/** Names the first primary of a group: the only upstream that claims to be one. */
 import type { Logger } from '../../core/logger/index.ts'
 import type { Directory } from '../directory/index.ts'
 import { registryKeys, type GroupRow, type Registry } from '../registry/index.ts'
--- a/src/entry/leadership/primary-leases.ts
+++ b/src/entry/leadership/primary-leases.ts
@@ -1,6 +1,11 @@
 /**
- * The right of this host to work at a primary. It rests on the group's row, on the age of the last confirmation of the
- * registry, and on what peers have asked to be closed.
+ * Decides whether this host holds a lease on a group's primary, the only condition under which it may work there.
+ *
+ * - Inputs: the group's row, the age of the last confirmation by the store and of the last extension by peers
+ *   (milliseconds), and the epochs that peers have asked this host to close.
+ * - Rule: the row is open, its epoch is not closed here, and the confirmation is at most PRIMARY_LEASE_MS old. An
+ *   extension counts like a confirmation while the last confirmation is at most EXTENDED_LEASE_MS old.
+ * - Why: a promoter may then count on the expiry of the leases of hosts that it cannot reach.
  */
 import { createWaiters } from '../../core/time/waiters.ts'
 import type { Registry } from '../registry/index.ts'
@@ -9,17 +14,17 @@
 
 /** Leases on primaries. */
 export interface PrimaryLeases {
-  /** The right at this moment; it must be asked again right before each sending. */
+  /** The lease at this moment; it must be checked again right before each sending. */
   of: (group: string) => PrimaryLease | undefined
-  /** Takes note that peers have extended the rights, and when they were asked. */
+  /** Records that peers have extended the leases, and when they were asked, on the steady clock. */
   extend: (askedAt: number) => void
-  /** Time since the rights were last confirmed or extended, in milliseconds. */
+  /** Time since the leases were last confirmed or extended, in milliseconds. */
   ageMs: () => number
   /** Epochs that are closed as far as this host knows. */
   closed: () => ClosedEpoch[]
-  /** Gives up the right to a group in an epoch and all before it. */
+  /** Gives up the lease on a group's primary in an epoch and all before it. */
   close: (group: string, epoch: number) => void
-  /** Waits until there is a right, for a bounded time. */
+  /** Waits until there is a lease, for a bounded time. */
   wait: (group: string, timeoutMs: number) => Promise<PrimaryLease | undefined>
   /**
    * Waits until a group has a primary at which hosts may work, whether or not this one may, for a bounded time.
@@ -27,15 +32,15 @@
    * @returns the primary and its epoch
    */
   waitForPrimary: (group: string, timeoutMs: number) => Promise<PrimaryLease | undefined>
-  /** Looks whether those who wait have their right now. */
+  /** Re-evaluates the conditions of waiting callers. */
   notify: () => void
 }
 
 /**
- * Creates the rights.
+ * Creates the leases.
  *
- * @param registry - what is confirmed
- * @returns the rights
+ * @param registry - the snapshot and the age of its confirmation
+ * @returns the leases
  */
 export function createPrimaryLeases (registry: Pick<Registry, 'current' | 'confirmedAgeMs'>): PrimaryLeases {
   const closedEpochs = new Map<string, number>()
--- a/src/entry/leadership/promote.ts
+++ b/src/entry/leadership/promote.ts
@@ -1,27 +1,30 @@
-/** Chooses who leads a group next, orders the promotion, and waits until it has taken effect. */
+/** Orders promotions in the order of `choose-successor.ts`, and waits until one has taken effect. */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import type { Directory, KnownUpstream } from '../directory/index.ts'
 import type { Pools } from '../pools/index.ts'
-import type { PromotionPort, UpstreamReport } from '../ports/index.ts'
+import type { PromotionPort } from '../ports/index.ts'
 import type { GroupRow, Registry } from '../registry/index.ts'
-import { comparePositions, formatPosition } from '../../positions/position.ts'
-import { ORDER_TRIES, OUTDATED_WAIT_MS, PROBE_MS, SUCCESSOR_POLL_MS, TAKE_EFFECT_MS } from './consts.ts'
+import { formatPosition } from '../../positions/position.ts'
+import { chooseSuccessors, findLeader, type Candidate } from './choose-successor.ts'
+import { PROBE_MS, SUCCESSOR_POLL_MS } from './probe-times.ts'
 import type { PromotionLease } from './promotion-lease.ts'
 
-/** An upstream and what it said of itself. */
-export interface Candidate {
-  upstream: KnownUpstream
-  report: UpstreamReport
-}
+/** Orders to promote an upstream when answers are lost: the first may have gone out on a dead connection. */
+const ORDER_TRIES = 2
+/**
+ * Time within which a promotion must take effect, in milliseconds: derived, four times what slow upstreams take, 600
+ * ms.
+ */
+const TAKE_EFFECT_MS = 2500
 
 /** Options of {@link promoteOne}. */
 export interface PromoteOptions {
   group: string
   /** Newest term of the group that this host knows. */
   knownTerm: number
-  duty: Pick<PromotionLease, 'hold' | 'noteOrder'>
+  promotionLease: Pick<PromotionLease, 'hold' | 'recordOrder'>
   registry: Registry
   directory: Pick<Directory, 'get'>
   pools: Pick<Pools, 'probe'>
@@ -29,35 +32,12 @@
   logger: Logger
 }
 
-/** Orders candidates: those that stay before those that leave, the furthest first. */
-function rank (candidates: Candidate[], oldPrimary: string): Candidate[] {
-  const weight = ({ upstream }: Candidate): number =>
-    (upstream.draining ? 2 : 0) + (upstream.upstream === oldPrimary ? 1 : 0)
-  return [...candidates].sort((left, right) => weight(left) - weight(right) ||
-    comparePositions(right.report.received, left.report.received) ||
-    (left.upstream.upstream < right.upstream.upstream ? -1 : 1))
-}
-
-/**
- * Finds the upstream that leads already, because a promotion took effect that nobody saw. Several may say that they
- * lead, when more than one promotion was ordered: only the one of the newest term does.
- *
- * @param candidates - upstreams and what they said of themselves
- * @param closedTerm - newest term of the epoch that was closed
- * @returns the leader; undefined when there is none
- */
-export function findLeader (candidates: Candidate[], closedTerm: number): Candidate | undefined {
-  return candidates
-    .filter(({ report }) => report.role === 'primary' && report.term > closedTerm)
-    .sort((left, right) => right.report.term - left.report.term)[0]
-}
-
 /**
  * Makes one of the candidates the primary.
  *
  * @param options - the group and everything needed
- * @param candidates - upstreams of the group and what they said of themselves
- * @param closed - the row of the group, as this succession has closed it
+ * @param candidates - upstreams of the group and their reports
+ * @param closed - the row of the group, as this failover has closed it
  * @param closedAt - when that was certain, on the steady clock
  * @returns the new primary; undefined when none could be made
  */
@@ -72,10 +52,9 @@
     logger.log('info', 'failover.already-promoted', { group, upstream: led.upstream.upstream, term: led.report.term })
     return led
   }
-  // Who has not heard of the closed term lacks all that was written in it; others may come back meanwhile.
-  const mayBeOutdated = performance.now() - closedAt >= OUTDATED_WAIT_MS
-  const fit = candidates.filter(({ report }) => mayBeOutdated || report.term >= closedTerm)
-  for (const candidate of rank(fit, oldPrimary)) {
+  const closedMs = performance.now() - closedAt
+  const fit = chooseSuccessors(candidates, { oldPrimary, term: closedTerm, closedMs })
+  for (const candidate of fit) {
     const promoted = await promote(options, candidate, closed.succession, closedTerm)
     if (promoted !== undefined) {
       return promoted
@@ -90,11 +69,11 @@
 
 /** Orders a promotion, once more when the answer is lost: the order is idempotent. */
 async function promote (
-  options: PromoteOptions, candidate: Candidate, succession: string, closedTerm: number
+  options: PromoteOptions, candidate: Candidate, failoverId: string, closedTerm: number
 ): Promise<Candidate | undefined> {
   const claimed = watchClaim(options, candidate, closedTerm)
   for (let tries = 1; tries <= ORDER_TRIES; tries++) {
-    const outcome = await orderPromotion(options, candidate, succession)
+    const outcome = await orderPromotion(options, candidate, failoverId)
     if (outcome === 'not-running' || (outcome === 'not-ordered' && tries === 1)) {
       return undefined
     }
@@ -106,55 +85,55 @@
 }
 
 async function orderPromotion (
-  options: PromoteOptions, { upstream, report }: Candidate, succession: string
+  options: PromoteOptions, { upstream, report }: Candidate, failoverId: string
 ): Promise<OrderOutcome> {
   const { group, logger, promotion, registry } = options
-  const duty = await options.duty.hold()
+  const held = await options.promotionLease.hold()
   const { row } = registry.current.group(group)
-  if (duty === undefined || !duty.mayOrder() || row?.succession !== succession) {
+  if (held === undefined || !held.mayOrder() || row?.succession !== failoverId) {
     return 'not-ordered'
   }
   const name = upstream.upstream
   logger.log('info', 'failover.promoting', {
-    group, upstream: name, fence: duty.fence, position: formatPosition(report.received)
+    group, upstream: name, fence: held.fence, position: formatPosition(report.received)
   })
-  options.duty.noteOrder()
+  options.promotionLease.recordOrder()
   try {
-    const outcome = await promotion.promote({ group, upstream: name, holder: registry.self.name, fence: duty.fence })
+    const outcome = await promotion.promote({ group, upstream: name, holder: registry.self.name, fence: held.fence })
     if (outcome === 'not-running') {
       logger.log('warn', 'failover.not-running', { group, upstream: name })
     }
     return outcome
   } catch (thrown) {
-    // It may have been taken; the upstream itself will tell.
+    // The order may have been carried out; the upstream's own report shows it.
     logger.log('warn', 'failover.answer-lost', { group, step: 'promote', reason: describeThrown(thrown) })
     return 'answer-lost'
   }
 }
 
 /**
- * Tells when an upstream has taken the lead by what it writes into the store, which it does at once. A promoter that
- * was cut off from the one that it had promoted saw no effect, promoted another one and left a group without a primary
- * for 18 s. Only a claim that is made after the order counts.
+ * Reads from the directory whether an upstream claims to be the primary, which it writes into the store at once. A
+ * promoter that was cut off from the one that it had promoted saw no effect, promoted another one and left a group
+ * without a primary for 18 s. Only a claim that is made after the order counts.
  */
 function watchClaim (
   { directory }: PromoteOptions, { upstream, report }: Candidate, closedTerm: number
 ): () => Candidate | undefined {
   const claims = (): boolean => directory.get(upstream.upstream)?.claimsPrimary === true
   const claimedBefore = claims()
-  // Its term is not told; it is at least the one after the closed one.
+  // The claim carries no term; it is at least the one after the closed one.
   return () => !claimedBefore && claims()
     ? { upstream, report: { ...report, role: 'primary', term: closedTerm + 1 } }
     : undefined
 }
 
 async function awaitEffect (
-  options: PromoteOptions, upstream: KnownUpstream, told: () => Candidate | undefined
+  options: PromoteOptions, upstream: KnownUpstream, claimed: () => Candidate | undefined
 ): Promise<Candidate | undefined> {
   const until = performance.now() + TAKE_EFFECT_MS
   while (performance.now() < until) {
     const report = await options.pools.probe(upstream, PROBE_MS)
-    const leader = report?.role === 'primary' ? { upstream, report } : told()
+    const leader = report?.role === 'primary' ? { upstream, report } : claimed()
     if (leader !== undefined) {
       return leader
     }
--- a/src/entry/leadership/promotion-lease.ts
+++ b/src/entry/leadership/promotion-lease.ts
@@ -1,10 +1,25 @@
-/** The lease on promoting: one host at a time, by a row in the store, with a fencing token that only rises. */
+/**
+ * Decides which host may order promotions, and until when.
+ *
+ * - Inputs: the lease's row in the store, bounds of the store's clock (milliseconds), whether the holder is alive.
+ * - Rule: a host takes the lease for {@link PROMOTION_LEASE_MS} when it has expired, or its holder's process has ended.
+ *   Each new holder raises the fencing token. It orders a promotion only with {@link ORDER_MS} left, counted with the
+ *   bound of the clock that is worst for it. Once it has ordered one, the lease is not released early.
+ * - Why: one promoter at a time; the platform rejects orders with an old fencing token.
+ */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import type { Peers } from '../../peers/index.ts'
 import { isRefusal } from '../../peers/refusal.ts'
 import { registryKeys, type PromotionLeaseRow, type Registry } from '../registry/index.ts'
-import { CLOSE_TRY_MS, PROMOTION_LEASE_MS, LEASE_REST_MS } from './consts.ts'
+import { REACH_HOST_MS } from './probe-times.ts'
+
+/** Length of the lease, in milliseconds: derived, a promotion takes less than half of it. */
+export const PROMOTION_LEASE_MS = 5000
+/**
+ * Least time left of the lease with which a promotion is ordered, in milliseconds: derived, the order's own timeout.
+ */
+const ORDER_MS = 2000
 
 /** The promotion lease as this host holds it. */
 interface HeldPromotionLease {
@@ -24,8 +39,8 @@
 export interface PromotionLease {
   /** Takes the promotion lease, or keeps it; undefined when another process has it. */
   hold: () => Promise<HeldPromotionLease | undefined>
-  /** Takes note that a promotion is ordered: the lease then stays here until it expires. */
-  noteOrder: () => void
+  /** Records that a promotion is ordered: the lease is then kept until it expires. */
+  recordOrder: () => void
   /** Gives the promotion lease up before it expires, unless a promotion was ordered within it. */
   release: () => Promise<void>
 }
@@ -52,7 +67,7 @@
       taking ??= take().finally(() => { taking = undefined })
       return await taking
     },
-    noteOrder: () => { orderedAt = performance.now() },
+    recordOrder: () => { orderedAt = performance.now() },
     release: async () => {
       if (performance.now() - orderedAt > PROMOTION_LEASE_MS) {
         releasedAt = performance.now()
@@ -74,7 +89,7 @@
     const written = await registry.write({ expected: [{ key, version }], put: [{ key, value: JSON.stringify(ended) }] })
     logger.log('info', 'promotion-lease.released', { fence: row.fence, written })
   } catch (thrown) {
-    // Its lease ends by itself.
+    // The lease expires by itself.
     logger.log('warn', 'promotion-lease.answer-lost', { fence: row.fence, reason: describeThrown(thrown) })
   }
 }
@@ -88,7 +103,7 @@
     return true
   }
   try {
-    await peers.ask(row, 'neighbour', {}, CLOSE_TRY_MS)
+    await peers.ask(row, 'neighbour', {}, REACH_HOST_MS)
     return false
   } catch (thrown) {
     return isRefusal(thrown)
@@ -123,7 +138,7 @@
       put: [{ key: registryKeys.promotionLease, value: JSON.stringify(next) }]
     })
   } catch (thrown) {
-    // The answer is lost, not the write: the row itself tells.
+    // The answer is lost, perhaps not the write: the row shows which.
     logger.log('warn', 'promotion-lease.answer-lost', { fence: next.fence, reason: describeThrown(thrown) })
     if (!await registry.refresh()) {
       return undefined
@@ -137,6 +152,6 @@
   logger.log('info', 'promotion-lease.held', { fence: held.fence, before: row?.holder, renewed: own })
   return {
     fence: held.fence,
-    mayOrder: () => registry.storeNowAtMostMs() + LEASE_REST_MS < held.expiresMs
+    mayOrder: () => registry.storeNowAtMostMs() + ORDER_MS < held.expiresMs
   }
 }
--- a/src/entry/leadership/reach-questions.ts
+++ b/src/entry/leadership/reach-questions.ts
@@ -1,4 +1,4 @@
-/** Asks this host and its peers whether they reach an upstream. */
+/** Asks this host and its peers whether they reach an upstream; `reach.ts` decides by their answers. */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import type { Directory } from '../directory/index.ts'
@@ -8,10 +8,23 @@
 import type { Pools } from '../pools/index.ts'
 import { isRefusal } from '../../peers/refusal.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
-import { HEARD_MS, PROBE_MS, REACH_ASKED, REACH_MS } from './consts.ts'
+import { PROBE_MS } from './probe-times.ts'
 import { countReach, isLostToMost, type ReachAnswer } from './reach.ts'
 import { reachAnswerSchema, reachQuestionSchema } from './types.ts'
 
+/**
+ * Age of an upstream's last answer up to which it counts as reached without a probe, in milliseconds: chosen, not
+ * measured.
+ */
+const HEARD_MS = 300
+/**
+ * Peers that are asked whether they reach an upstream. Measured: each may have to open a connection there, which takes
+ * one of its slots for 12 ms, and 71 at once keep an upstream of three slots from answering anything else for 0.3 s.
+ */
+const REACH_ASKED = 8
+/** Time that a peer has to answer, in milliseconds; it may have to probe the upstream. Chosen, not measured. */
+const REACH_MS = 1300
+
 /** Options of {@link createReachQuestions}. */
 interface ReachOptions {
   registry: Pick<Registry, 'peers'>
--- a/src/entry/leadership/reach.ts
+++ b/src/entry/leadership/reach.ts
@@ -1,16 +1,21 @@
-/** Counts which hosts reach an upstream. */
+/**
+ * Decides whether a primary is lost to so many hosts that it should be replaced.
+ *
+ * - Inputs: one answer of each host that was asked, this one included; a host that has not answered counts as silent.
+ * - Rule: it is lost when at least as many hosts have lost it as reach it, and at least as many as are silent.
+ * - Why: a silent host may be working there, and the failover would have to wait for its leases to expire.
+ */
 
-/** What one host says; `not-running` when no process listens there, `silent` when it says nothing. */
+/** Answer of one host; `not-running` when no process listens there, `silent` when none came. */
 export type ReachAnswer = 'reached' | 'lost' | 'silent' | 'not-running'
 
-/** What the hosts said; those that have not answered yet count as silent. */
+/** Hosts by answer; those that have not answered yet count as silent. */
 type ReachCount = Record<ReachAnswer, number>
 
 /**
- * Says whether a primary is lost to so many hosts that it should be replaced. Hosts that are silent may be working
- * there and would have to be waited for, so they must not outnumber those that have lost it.
+ * Whether a primary should be replaced; see the rule above.
  *
- * @param count - what the hosts said
+ * @param count - hosts by answer
  * @returns whether it should be replaced
  */
 export function isLostToMost ({ reached, lost, silent }: ReachCount): boolean {
@@ -18,7 +23,7 @@
 }
 
 /**
- * Counts answers until those that are missing cannot change what most say.
+ * Counts answers until those that are missing cannot change the decision.
  *
  * @param questions - answers to come
  * @returns the count so far
@@ -28,7 +33,7 @@
   await new Promise<void>((resolve) => {
     let open = questions.length
     for (const question of questions) {
-      // A question that fails says nothing of the upstream; who asks logs why.
+      // A failed question says nothing about the upstream; the requester has logged why.
       void question.catch((): ReachAnswer => 'silent').then((answer) => {
         open--
         count.silent--
--- a/src/entry/leadership/recovery-estimates.ts
+++ b/src/entry/leadership/recovery-estimates.ts
@@ -1,35 +1,47 @@
 /**
- * How long a group that has lost its primary will be without one, by how long it took before. A request that can wait
- * that long waits; one that can't is refused at once with the time to come back, and not held until it is late.
+ * Decides how long a group that has lost its primary is expected to be without one.
+ *
+ * - Inputs: when each group lost its primary (steady clock), and how long earlier recoveries took (milliseconds).
+ * - Rule: the running mean of earlier recoveries less the time since the loss, between {@link LEAST_MS} and
+ *   {@link GREATEST_MS}; an overdue recovery is expected to take as long again as it is overdue.
+ * - Why: a request that can wait that long waits; any other is refused at once with the time to retry, and not held
+ *   until it is late.
  */
 
-/** Time that is expected before any was seen, in milliseconds: a promotion of 0.6 s, and what goes before it. */
+/**
+ * Time that is expected before the first recovery, in milliseconds: derived, a promotion of 0.6 s and the steps before
+ * it.
+ */
 const TYPICAL_MS = 1500
-/** Weight of the last time in the running mean. */
+/** Weight of the last recovery in the running mean: chosen, not measured. */
 const SAMPLE_WEIGHT = 0.5
-/** Least time that is expected while there is no primary, in milliseconds: a step of a change. */
+/**
+ * Least time that is expected while there is no primary, in milliseconds: one step of a failover; chosen, not measured.
+ */
 const LEAST_MS = 150
-/** Greatest time that is expected, in milliseconds: callers who are told to come back should soon see its end. */
+/**
+ * Greatest time that is expected, in milliseconds: callers that retry should soon see the end. Chosen, not measured.
+ */
 const GREATEST_MS = 2000
-/** Longer times say that something else went wrong, and nothing of the next one, in milliseconds. */
+/** Longer recoveries had another cause and say nothing of the next one, in milliseconds: chosen, not measured. */
 const GREATEST_SAMPLE_MS = 5000
 
-/** Expectations of when groups have a primary again. */
+/** Estimates of when groups have a primary again. */
 export interface RecoveryEstimates {
-  /** Takes note that a group has no primary that works; the first sign counts. */
+  /** Records that a group has no working primary; the first report counts. */
   lost: (group: string) => void
-  /** Takes note that it has one, after a change of primary. */
+  /** Records that it has one after a failover. */
   back: (group: string) => void
-  /** Takes note that the one that seemed lost can be reached again; that tells nothing of how long a change takes. */
+  /** Records that the one that seemed lost can be reached again, which is no sample of a failover's time. */
   reached: (group: string) => void
   /** Time until a group is expected to have a primary again, in milliseconds; 0 when it has not lost it. */
   expectedMs: (group: string) => number
 }
 
 /**
- * Creates the expectations; nothing has been seen yet.
+ * Creates the estimates, without samples.
  *
- * @returns the expectations
+ * @returns the estimates
  */
 export function createRecoveryEstimates (): RecoveryEstimates {
   const lostAt = new Map<string, number>()
@@ -50,8 +62,8 @@
       if (since === undefined) {
         return 0
       }
-      // What is overdue is expected to last as long again: when hosts that are cut off held a change up for 18 s, each
-      // request waited for nearly half of its time before it was refused.
+      // An overdue recovery is expected to last as long again: when hosts that were cut off delayed a failover by 18 s,
+      // each request waited for nearly half of its time before it was refused.
       const leftMs = Math.abs(typicalMs - (performance.now() - since))
       return Math.min(GREATEST_MS, Math.max(LEAST_MS, leftMs))
     }
--- a/src/entry/leadership/stop-local-work.ts
+++ b/src/entry/leadership/stop-local-work.ts
@@ -1,11 +1,10 @@
-/** Ends this host's work at a primary: when an epoch is closed, and when the right has lapsed. */
+/** Ends this host's work at a primary: when an epoch is closed, and when the lease has expired. */
 import type { Logger } from '../../core/logger/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import type { Directory } from '../directory/index.ts'
 import type { Pools } from '../pools/index.ts'
 import { PRIMARY_LEASE_MS } from '../registry/lease-times.ts'
 import type { Registry } from '../registry/index.ts'
-import { CLOSING_MS, LAPSE_SLACK_MS } from './consts.ts'
 import type { PrimaryLeases } from './primary-leases.ts'
 
 /** Options of {@link createLocalWorkStop}. */
@@ -13,28 +12,35 @@
   registry: Pick<Registry, 'current' | 'confirmedAgeMs'>
   directory: Pick<Directory, 'get'>
   pools: Pick<Pools, 'of'>
-  rights: Pick<PrimaryLeases, 'close' | 'ageMs'>
+  primaryLeases: Pick<PrimaryLeases, 'close' | 'ageMs'>
   logger: Logger
 }
 
 /** Ends this host's work at primaries. */
 export interface LocalWorkStop {
-  /** Gives up the right to an epoch; what is in progress has a moment to end. */
+  /** Gives up the lease on an epoch's primary; work in progress has {@link FINISH_MS} to end. */
   close: (group: string, epoch: number) => Promise<void>
-  /** Breaks off what is in progress at the primaries of groups when the right has lapsed. */
-  lookAtLapse: (groups: string[]) => void
+  /** Aborts work in progress at the primaries of groups when the lease has expired. */
+  abortExpired: (groups: string[]) => void
 }
 
-/** Time between two looks whether the work in progress has ended, in milliseconds. */
+/**
+ * Time after the expiry of its lease at which a host aborts work in progress, in milliseconds: chosen, not measured.
+ */
+const EXPIRY_SLACK_MS = 250
+/** Time that statements in progress have to end when an epoch is closed, in milliseconds: chosen, not measured. */
+const FINISH_MS = 150
+/** Time between two looks whether work in progress has ended, in milliseconds: chosen, not measured. */
 const LOOK_MS = 10
 
 /**
- * Creates the closing.
+ * Creates what ends the work.
  *
- * @param options - the rights and the connections
- * @returns the closing
+ * @param options - the leases and the connections
+ * @returns the operations
  */
-export function createLocalWorkStop ({ registry, directory, pools, rights, logger }: LocalWorkStopOptions): LocalWorkStop {
+export function createLocalWorkStop (options: LocalWorkStopOptions): LocalWorkStop {
+  const { registry, directory, pools, primaryLeases, logger } = options
   let expired = false
 
   const abortAtPrimary = (name: string, reason: string): void => {
@@ -57,22 +63,22 @@
   }
   return {
     close: async (group, epoch) => {
-      rights.close(group, epoch)
+      primaryLeases.close(group, epoch)
       const { row } = registry.current.group(group)
       const primary = row === undefined ? undefined : directory.get(row.primary)
       if (row === undefined || primary === undefined || row.epoch > epoch) {
         return
       }
-      const until = performance.now() + CLOSING_MS
+      const until = performance.now() + FINISH_MS
       while (pools.of(primary).pool.inUse > 0 && performance.now() < until) {
         await pause(LOOK_MS)
       }
       abortAtPrimary(row.primary, 'the epoch was closed')
     },
-    lookAtLapse: (groups) => {
-      const ageMs = rights.ageMs()
+    abortExpired: (groups) => {
+      const ageMs = primaryLeases.ageMs()
       recordExpiry(ageMs)
-      if (ageMs <= PRIMARY_LEASE_MS + LAPSE_SLACK_MS) {
+      if (ageMs <= PRIMARY_LEASE_MS + EXPIRY_SLACK_MS) {
         return
       }
       for (const group of groups) {
--- a/src/entry/leadership/types.ts
+++ b/src/entry/leadership/types.ts
@@ -1,7 +1,7 @@
 /** Types of leadership. */
 import * as z from 'zod'
 
-/** The right of this host to work at a group's primary. */
+/** A lease of this host on a group's primary. */
 export interface PrimaryLease {
   upstream: string
   epoch: number
--- a/src/entry/registry/change-notifications.ts
+++ b/src/entry/registry/change-notifications.ts
@@ -1,7 +1,7 @@
 /**
- * Plug-in `tableNews`: the hosts that follow a table of the store tell each other of its changes. An open connection
- * may go silent for good, and a question for changes waits long on one; a host that hears of a change which its own
- * question has not brought reads the table again.
+ * Plug-in `tableNews`: the hosts that follow a table of the store notify each other of its changes. An open connection
+ * may go silent for good, and a question for changes waits long on one; a host that is notified of a change which its
+ * own question has not returned reads the table again.
  */
 import * as z from 'zod'
 import { describeThrown } from '../../core/errors/index.ts'
@@ -14,14 +14,14 @@
 /** Service of the plug-in. */
 export interface ChangeNotifications {
   /**
-   * Tells peers that a table has changed.
+   * Notifies peers that a table has changed.
    *
    * @param table - the table
    * @param version - version of its newest changed row
    */
-  tell: (table: string, version: number) => void
-  /** Calls back when a peer tells of a change of a table. */
-  onTold: (table: string, listener: (version: number, peer: string) => void) => void
+  notify: (table: string, version: number) => void
+  /** Calls back when a peer notifies this host of a change of a table. */
+  onNotified: (table: string, listener: (version: number, peer: string) => void) => void
 }
 
 declare module '../../core/kernel/index.ts' {
@@ -29,13 +29,16 @@
 }
 
 /**
- * Peers that each host tells, chosen at random. Of 2,300 hosts on which every third question hangs, fewer than one in
- * a thousand is then told by nobody (e to the power of -8); few hosts tell all others.
+ * Peers that each host notifies, chosen at random: derived. Of 2,300 hosts on which every third question hangs, fewer
+ * than one in a thousand is then notified by nobody (e to the power of -8); with few hosts each notifies all others.
  */
 const FANOUT = 8
-/** Greatest delay before peers are told, in milliseconds: those that have told this host meanwhile know already. */
+/**
+ * Greatest delay before peers are notified, in milliseconds: those that have notified this host meanwhile are left out.
+ * Chosen, not measured.
+ */
 const NOTIFY_DELAY_MS = 100
-/** Time that a peer has to take the notification, in milliseconds, and how often it is tried: a link may have gone silent. */
+/** Time that a peer has to acknowledge, in milliseconds, and tries: a link may be silent. Chosen, not measured. */
 const NOTIFY_MS = 600
 const NOTIFY_TRIES = 2
 
@@ -49,9 +52,9 @@
     const peers = context.use('peers')
     const { logger } = context
     const listeners = new Map<string, Array<(version: number, peer: string) => void>>()
-    /** Newest version that each peer has told, by table and peer. */
+    /** Newest version of which each peer has notified this host, by table and peer. */
     const notifiedBy = new Map<string, Map<string, number>>()
-    /** Versions that are about to be told, by table: changes in quick succession are told as one. */
+    /** Versions of pending notifications, by table: changes in quick succession make one notification. */
     const pending = new Map<string, number>()
 
     const knownAt = (table: string, peer: string): number => notifiedBy.get(table)?.get(peer) ?? -1
@@ -86,14 +89,14 @@
     })
     return {
       service: {
-        tell: (table, version) => {
+        notify: (table, version) => {
           const before = pending.get(table)
           pending.set(table, Math.max(version, before ?? 0))
           if (before === undefined) {
             void pause(Math.random() * NOTIFY_DELAY_MS).then(async () => await notifySome(table))
           }
         },
-        onTold: (table, listener) => { listeners.set(table, [...listeners.get(table) ?? [], listener]) }
+        onNotified: (table, listener) => { listeners.set(table, [...listeners.get(table) ?? [], listener]) }
       }
     }
   }
--- a/src/entry/registry/host-expiry.ts
+++ b/src/entry/registry/host-expiry.ts
@@ -1,7 +1,13 @@
 /**
- * Each host watches the next one in the order of names, and retires the row of one that stays silent. A retired host
- * has no right to primaries once the time in its row has passed, so that a failover need not wait for it. A host that
- * is alive after all registers itself again as soon as it reads the table.
+ * Decides when a host that has gone silent is retired, so that a failover need not wait for it.
+ *
+ * - Inputs: how long the next host in the order of names has been silent (milliseconds), whether it refuses
+ *   connections, and the longest time for which it may still hold leases (milliseconds).
+ * - Rule: each host asks the next one each {@link ASK_MS}. After {@link SILENT_MS} without an answer its row is
+ *   retired: its leases count as expired at once when it refuses connections, and after the longest lease otherwise.
+ *   The row is removed once that time has passed on the store's clock.
+ * - Why: one watcher for each host keeps the questions few. A host that is alive after all registers itself again as
+ *   soon as it reads the table.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -12,11 +18,13 @@
 import type { KnownHost } from './snapshot.ts'
 import { hostRowSchema, registryKeys, RETIRED_PROCESS, type HostRow } from './types.ts'
 
-/** Time between two questions to the neighbour, in milliseconds. */
+/** Time between two questions to the next host, in milliseconds: chosen, not measured. */
 const ASK_MS = 1000
-/** Time the neighbour has to answer, in milliseconds. */
+/** Time the next host has to answer, in milliseconds: chosen, not measured. */
 const ANSWER_MS = 600
-/** Silence after which a host is retired, in milliseconds: three questions, and longer than a restart takes. */
+/**
+ * Silence after which a host is retired, in milliseconds: derived, three questions, and longer than a restart takes.
+ */
 const SILENT_MS = 2500
 
 /** Options of {@link watchNextHost}. */
@@ -24,12 +32,12 @@
   registry: Pick<Registry, 'self' | 'current' | 'peers' | 'write' | 'storeNowAtLeastMs' | 'storeNowAtMostMs'>
   peers: Pick<Peers, 'ask' | 'handle'>
   logger: Logger
-  /** Time for which a host that is not heard may still work at primaries, in milliseconds. */
-  rightMs: number
+  /** Time for which a silent host may still work at primaries, in milliseconds. */
+  leaseMs: number
 }
 
 /**
- * Watches the nextHost until closed.
+ * Watches the next host until stopped.
  *
  * @param options - the registry and the links to peers
  * @returns stops watching
@@ -45,7 +53,7 @@
   }
   const retire = async (host: KnownHost, refused: boolean): Promise<void> => {
     const { name, version } = host
-    const retiredUntilMs = refused ? registry.storeNowAtLeastMs() : registry.storeNowAtMostMs() + options.rightMs
+    const retiredUntilMs = refused ? registry.storeNowAtLeastMs() : registry.storeNowAtMostMs() + options.leaseMs
     const row: HostRow = { ...hostRowSchema.parse(host), process: RETIRED_PROCESS, retiredUntilMs }
     const key = registryKeys.host(name)
     const written = await registry.write({
@@ -70,19 +78,19 @@
       }
     }
   }
-  /** Rows of retired hosts are of no use once their time has passed. */
-  const clean = async (): Promise<void> => {
-    const [lapsed] = registry.current.hosts.filter(({ retiredUntilMs }) =>
+  /** Removes the row of a retired host whose leases have expired; the first host in the order of names does it. */
+  const removeExpired = async (): Promise<void> => {
+    const [expired] = registry.current.hosts.filter(({ retiredUntilMs }) =>
       retiredUntilMs !== undefined && retiredUntilMs < registry.storeNowAtLeastMs())
     const first = registry.peers().every(({ name }) => name > registry.self.name)
-    if (lapsed !== undefined && first) {
-      const key = registryKeys.host(lapsed.name)
-      const removed = await registry.write({ expected: [{ key, version: lapsed.version }], put: [], remove: [key] })
-      logger.log('info', 'registry.host-removed', { peer: lapsed.name, removed })
+    if (expired !== undefined && first) {
+      const key = registryKeys.host(expired.name)
+      const removed = await registry.write({ expected: [{ key, version: expired.version }], put: [], remove: [key] })
+      logger.log('info', 'registry.host-removed', { peer: expired.name, removed })
     }
   }
   return repeat(ASK_MS, async () => {
     await ask()
-    await clean()
+    await removeExpired()
   }, (thrown) => logger.log('debug', 'registry.retire-failed', { reason: describeThrown(thrown) }))
 }
--- a/src/entry/registry/readers.ts
+++ b/src/entry/registry/readers.ts
@@ -1,16 +1,22 @@
 /**
- * Which hosts read the store for all. The others ask one of them, so that calls to the store grow with a fraction of
- * the hosts only.
+ * Decides which hosts read the store for all, and in which order any other host asks them.
+ *
+ * - Inputs: the live hosts with their names and failure domains, and the name of the host that asks.
+ * - Rule: hosts are ordered by a hash of their names. One in {@link HOSTS_PER_READER} reads the registry; the same
+ *   ones and at least {@link LEAST_FOLLOWERS} follow the tables. With enough of them each failure domain has its own.
+ *   A host asks those of its failure domain first, starting at a place by the hash of its name.
+ * - Why: calls to the store grow with a fraction of the hosts only, all hosts compute the same without agreement, and
+ *   bytes between failure domains are priced.
  */
 import { createHash } from 'node:crypto'
 import type { KnownHost } from './snapshot.ts'
 
-/** Hosts that one reader serves: each asks it 1.3 times a second, with some hundred bytes. */
+/** Hosts that one reader serves: each asks it 1.3 times a second, with some hundred bytes. Chosen, not measured. */
 export const HOSTS_PER_READER = 25
 /**
- * Least number of hosts that follow the tables of the store by themselves. Open connections may go silent for good, and
- * a question for changes hangs on one for long; of eight that are hit by halves one goes on in 99.6% of all cases, and
- * tells the others.
+ * Least number of hosts that follow the tables of the store: derived. Open connections may go silent for good, and a
+ * question for changes hangs on one for long; when each of eight is hit with a probability of one half, one goes on in
+ * 99.6% of all cases, and notifies the others.
  */
 export const LEAST_FOLLOWERS = 8
 
@@ -55,7 +61,7 @@
 /**
  * Names the readers of the registry.
  *
- * @param hosts - hosts that have not been given up
+ * @param hosts - hosts that are not retired
  * @returns the readers
  */
 export function readersOf (hosts: KnownHost[]): KnownHost[] {
@@ -63,9 +69,9 @@
 }
 
 /**
- * Names the hosts that follow the tables of the store by themselves; the readers are among them.
+ * Names the hosts that follow the tables of the store; the readers are among them.
  *
- * @param hosts - hosts that have not been given up
+ * @param hosts - hosts that are not retired
  * @returns these hosts
  */
 export function followersOf (hosts: KnownHost[]): KnownHost[] {
@@ -77,7 +83,7 @@
  * there is one, then the others. The host itself comes first when it reads the store.
  *
  * @param name - the host
- * @param hosts - hosts that have not been given up
+ * @param hosts - hosts that are not retired
  * @param serving - those of them that read the store
  * @returns these, in the order in which they are asked
  */
--- a/src/entry/registry/service.ts
+++ b/src/entry/registry/service.ts
@@ -7,9 +7,9 @@
   readonly self: { name: string, process: string }
   /** The newest snapshot. */
   readonly current: RegistrySnapshot
-  /** Time since the store was last asked with an answer that shows this process as registered, in milliseconds. */
+  /** Time since the question was sent whose answer showed this process as registered, in milliseconds. */
   confirmedAgeMs: () => number
-  /** Other hosts that are registered and have not been given up. */
+  /** Other hosts that are registered and not retired. */
   peers: () => KnownHost[]
   /**
    * Reads the table now.
@@ -30,7 +30,7 @@
    * @param group - the group
    * @param epoch - the epoch that is closed here, with all before it
    */
-  tellStopped: (group: string, epoch: number) => Promise<void>
+  publishStopped: (group: string, epoch: number) => Promise<void>
   /** Calls back after each new snapshot. */
   onChange: (listener: () => void) => void
   /** Calls back when the store has stopped answering this host. */
--- a/src/entry/registry/snapshot-exchange.ts
+++ b/src/entry/registry/snapshot-exchange.ts
@@ -1,4 +1,7 @@
-/** Passes the registry on between hosts, with its age, so that few hosts read it from the store. */
+/**
+ * Passes the registry on between hosts by long poll, with its age, so that few hosts read it from the store. An answer
+ * carries only the rows that have changed since the snapshot that the requester names.
+ */
 import type * as z from 'zod'
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -7,16 +10,17 @@
 import { createSnapshot, type KnownHost, type RegistrySnapshot } from './snapshot.ts'
 import { snapshotReplySchema, snapshotQuestionSchema, type SnapshotReply } from './types.ts'
 
-/** Time a reader has to answer, in milliseconds; who gets no answer asks the next one. */
+/** Time a reader has to answer, in milliseconds; then the requester asks the next one. Chosen, not measured. */
 const READER_MS = 300
 /**
  * Time for which a reader holds a question while nothing changes, in milliseconds: so all hosts learn of a change as
- * soon as their readers do. A silent reader is noticed after this and {@link READER_MS}, two of them within a right.
+ * soon as their readers do. Derived: a silent reader is noticed after this and {@link READER_MS}, two of them within a
+ * lease.
  */
 const HOLD_MS = 400
-/** Time any other peer has to answer, in milliseconds. */
+/** Time any other peer has to answer, in milliseconds: chosen, not measured. */
 const PEER_TIMEOUT_MS = 600
-/** Peers asked in one round. */
+/** Peers asked in one round: chosen, not measured. */
 const PEERS_ASKED = 3
 
 /** Options of {@link createSnapshotExchange}. */
@@ -26,12 +30,12 @@
   current: () => RegistrySnapshot
   /** Whether this host reads the registry from the store, and gets it. */
   isReading: () => boolean
-  takeOver: (snapshot: RegistrySnapshot) => void
+  accept: (snapshot: RegistrySnapshot) => void
 }
 
-/** Brings the registry as peers know it. */
+/** Fetches the registry as peers know it, and serves this host's snapshot. */
 export interface SnapshotExchange {
-  /** Takes note that this host has learnt something new: held questions are answered. */
+  /** The snapshot, or whether this host reads, has changed: held questions are answered. */
   changed: () => void
   /**
    * Asks a host that may read for this one.
@@ -41,20 +45,20 @@
    * @returns whether it does read
    */
   askReader: (reader: KnownHost, mayHold: boolean) => Promise<boolean>
-  /** Asks the host that has told of a change; returns whether that brought what is new. */
-  askTeller: (peer: KnownHost) => Promise<boolean>
-  /** Asks some of the peers, others each time. */
+  /** Asks the host that has written a row; returns whether its answer was newer than the snapshot here. */
+  askWriter: (peer: KnownHost) => Promise<boolean>
+  /** Asks some of the peers, others in each round. */
   askSome: (peers: KnownHost[]) => Promise<void>
 }
 
 /**
- * Builds the snapshot that a peer has told of: bytes between failure domains are paid for, and a table of 71 hosts has
+ * Builds the snapshot that a peer has sent: bytes between failure domains are paid for, and a table of 71 hosts has
  * 14 KB, so only what has changed is passed on.
  *
  * @param before - what this host had when it asked
- * @param reply - what the peer has told
+ * @param reply - the peer's answer
  * @param askedAt - when it was asked, on the steady clock
- * @returns the snapshot; undefined when it cannot be built of this
+ * @returns the snapshot; undefined when it cannot be built from this
  */
 export function mergeSnapshotReply (
   before: RegistrySnapshot, { version, rows, digest, ageMs, isChange = false }: SnapshotReply, askedAt: number
@@ -72,12 +76,13 @@
 }
 
 /**
- * Creates the relay, and answers the questions of peers.
+ * Creates the exchange, and answers the questions of peers.
  *
  * @param options - the links, and what this host knows
- * @returns the relay
+ * @returns the exchange
  */
-export function createSnapshotExchange ({ peers, logger, current, isReading, takeOver }: SnapshotExchangeOptions): SnapshotExchange {
+export function createSnapshotExchange (options: SnapshotExchangeOptions): SnapshotExchange {
+  const { peers, logger, current, isReading, accept } = options
   let round = 0
   const waiters = createWaiters()
 
@@ -99,7 +104,7 @@
     }
   })
   const ask = async (peer: KnownHost, timeoutMs: number, holdMs = 0): Promise<boolean> => {
-    // The answer is made after this moment, so counting its age from here takes nothing for younger than it is.
+    // The answer is made after this moment, so counting its age from here never underestimates it.
     const askedAt = performance.now()
     const before = current()
     const askWith = async (question: z.infer<typeof snapshotQuestionSchema>): Promise<SnapshotReply> =>
@@ -111,12 +116,12 @@
       }
       const merged = mergeSnapshotReply(before, reply, askedAt)
       if (merged !== undefined) {
-        takeOver(merged)
+        accept(merged)
         return reply.isReading
       }
-      // Rows were removed: what has changed does not tell which.
+      // Rows were removed; a change does not name them.
       const { rows = [], version, ageMs } = await askWith({})
-      takeOver(createSnapshot(rows, version, askedAt - ageMs, before))
+      accept(createSnapshot(rows, version, askedAt - ageMs, before))
       return reply.isReading
     } catch (thrown) {
       logger.log('debug', 'registry.peer-silent', { peer: peer.name, reason: describeThrown(thrown) })
@@ -126,7 +131,7 @@
   return {
     changed: waiters.notify,
     askReader: async (reader, mayHold) => await ask(reader, READER_MS, mayHold ? HOLD_MS : 0),
-    askTeller: async (peer) => {
+    askWriter: async (peer) => {
       const before = current().version
       await ask(peer, READER_MS)
       return current().version > before
--- a/src/entry/registry/snapshot-refresh.ts
+++ b/src/entry/registry/snapshot-refresh.ts
@@ -1,4 +1,14 @@
-/** Brings the registry from hosts that read it for others, so that few hosts ask the store. */
+/**
+ * Decides from whom this host gets the registry next, and when: from the hosts that read it for others, or from the
+ * store.
+ *
+ * - Inputs: whether this host is a reader or a deputy (by the order of followers), the ages of its snapshot and of its
+ *   confirmation (milliseconds), when it last read the store, and which hosts failed to answer recently.
+ * - Rule: a reader reads the store; while the store rejects it, it asks others. Any other host asks up to
+ *   {@link READERS_ASKED} readers and deputies, and reads the store only when none returns a young snapshot.
+ * - Why: each host needs a confirmation within each lease, but calls to the store are priced, and hosts that the store
+ *   rejects must keep their leases without asking a majority for extensions.
+ */
 import { pause } from '../../core/time/deadline.ts'
 import { repeat } from '../../core/time/repeat.ts'
 import { createRecentFailures } from './recent-failures.ts'
@@ -7,28 +17,34 @@
 import type { KnownHost, RegistrySnapshot } from './snapshot.ts'
 
 /**
- * Time between two reads of the table by a reader, in milliseconds. What it has read just before its next turn, learnt
- * by a host just before its own, is less than two thirds of a right old.
+ * Time between two reads of the table by a reader, in milliseconds. What it has read just before its next turn, and a
+ * host received just before its own, is less than two thirds of a lease old: derived.
  */
 export const POLL_MS = 750
-/** Pause between two questions to a reader, in milliseconds; it holds each of them until something changes. */
+/** Pause between two questions to a reader, in milliseconds, which holds each. Chosen, not measured. */
 const ASK_PAUSE_MS = 150
 /**
- * Age up to which what is known here lets a reader hold the question, in milliseconds; older knowledge is renewed now.
+ * Age of the snapshot up to which a reader may hold the question, in milliseconds; an older one is refreshed at once.
+ * Chosen, not measured.
  */
 const HELD_AGE_MS = 1000
-/** Pause after nobody knew anything younger, in milliseconds: a stand-in begins to read meanwhile. */
+/**
+ * Pause after no host had a young snapshot, in milliseconds: a deputy begins to read meanwhile. Chosen, not measured.
+ */
 const FAILURE_PAUSE_MS = 300
-/** Greatest age of what a reader passes on, in milliseconds; a host that learns nothing younger asks the next one. */
+/**
+ * Greatest useful age of a snapshot, in milliseconds; a host that gets an older one asks the next. Chosen, not
+ * measured.
+ */
 const RELAYED_AGE_MS = 1900
-/** Readers that are asked in one turn. Each may be silent for 0.3 s, and a right lasts for three seconds. */
+/** Readers that are asked in one turn: derived, each may be silent for 0.3 s, and a lease lasts for three seconds. */
 const READERS_ASKED = 3
 /**
  * Least time between two reads of a host that follows no table, in milliseconds: when the store is away for all, those
- * that do notice its return.
+ * that do notice its return. Chosen, not measured.
  */
 const OWN_READ_PAUSE_MS = 2000
-/** Least time between two reads of a host that reads for others, in milliseconds. */
+/** Least time between two reads of a host that reads for others, in milliseconds: derived. */
 const READ_PAUSE_MS = POLL_MS - ASK_PAUSE_MS
 
 /** Options of {@link keepSnapshotFresh}. */
@@ -39,21 +55,20 @@
   confirmedAgeMs: () => number
   /** Greatest age of a confirmation with which this process counts as registered, in milliseconds. */
   registeredMs: number
-  relay: Pick<SnapshotExchange, 'askReader'>
-  /** Reads the store and registers this process; returns whether that came about. */
+  exchange: Pick<SnapshotExchange, 'askReader'>
+  /** Reads the store and registers this process; returns whether both succeeded. */
   readAndRegister: () => Promise<boolean>
   onError: (thrown: unknown) => void
 }
 
 /**
- * Keeps learning until closed. A reader reads the store, and asks other readers while the store turns it away; any
- * other host asks readers, and reads the store only when they bring nothing young.
+ * Refreshes the snapshot until stopped.
  *
- * @param options - what is known, and how more is learnt
- * @returns stops learning
+ * @param options - what is known, and how it is refreshed
+ * @returns stops refreshing
  */
 export function keepSnapshotFresh (options: RefreshOptions): () => void {
-  const { name, current, confirmedAgeMs, registeredMs, relay, readAndRegister } = options
+  const { name, current, confirmedAgeMs, registeredMs, exchange, readAndRegister } = options
   const recentFailures = createRecentFailures()
 
   const isReader = (): boolean => readersOf(current().liveHosts).some((reader) => reader.name === name)
@@ -61,54 +76,54 @@
   const ageMs = (): number => performance.now() - current().askedAt
   const isYoung = (): boolean => ageMs() < RELAYED_AGE_MS && confirmedAgeMs() < RELAYED_AGE_MS
   let ownReadAt = -Infinity
-  let isTurnedAway = false
+  let isRejected = false
   /**
-   * Other followers that read when readers can't; of these each asks those before itself, so that one reads for all. A
-   * host that the store turns away reads for nobody, and asks those behind it as well.
+   * Followers that read when readers can't; each asks the deputies before itself, so that one reads for all. A host
+   * that the store rejects reads for nobody, and asks those after it as well.
    */
   const deputies = (): KnownHost[] => {
     const place = placeAmongFollowers()
     const followers = followersOf(current().liveHosts)
-    return isTurnedAway || isReader() || place < 0 ? followers : followers.slice(0, place)
+    return isRejected || isReader() || place < 0 ? followers : followers.slice(0, place)
   }
-  /** Hosts that may have read the registry; those that do not read, or brought nothing young, come last. */
+  /** Hosts that may have read the registry, in the order in which they are asked; recent failures come last. */
   const readers = (): KnownHost[] => {
     const { liveHosts } = current()
     const known = [...orderFor(name, liveHosts, readersOf(liveHosts)), ...deputies()]
     const others = [...new Set(known)].filter((reader) => reader.name !== name)
     return recentFailures.order(others).slice(0, READERS_ASKED)
   }
-  const learnFromReaders = async (): Promise<boolean> => {
+  const refreshFromReaders = async (): Promise<boolean> => {
     if (confirmedAgeMs() >= registeredMs) {
       return false
     }
     for (const reader of readers()) {
-      if (await relay.askReader(reader, ageMs() < HELD_AGE_MS) && isYoung()) {
+      if (await exchange.askReader(reader, ageMs() < HELD_AGE_MS) && isYoung()) {
         return true
       }
-      recentFailures.note(reader)
+      recentFailures.record(reader)
     }
     return false
   }
   const readNow = async (): Promise<boolean> => {
     ownReadAt = performance.now()
-    isTurnedAway = !await readAndRegister()
-    return !isTurnedAway
+    isRejected = !await readAndRegister()
+    return !isRejected
   }
   const isDue = (pauseMs: number): boolean => performance.now() - ownReadAt >= pauseMs
-  /** Reads the store, as readers do; learns from others for as long as it turns this host away. */
-  const lead = async (): Promise<void> => {
+  /** A reader's turn: reads the store, or asks others while the store rejects this host. */
+  const takeReaderTurn = async (): Promise<void> => {
     if (isDue(READ_PAUSE_MS) && await readNow()) {
       await pause(READ_PAUSE_MS)
       return
     }
-    if (!await learnFromReaders()) {
+    if (!await refreshFromReaders()) {
       await pause(FAILURE_PAUSE_MS)
     }
   }
-  /** Learns from readers, and reads the store when they bring nothing young. */
-  const learn = async (): Promise<void> => {
-    if (await learnFromReaders()) {
+  /** Any other host's turn: asks readers, and reads the store when none returns a young snapshot. */
+  const takeTurn = async (): Promise<void> => {
+    if (await refreshFromReaders()) {
       return
     }
     if (isDue(placeAmongFollowers() < 0 ? OWN_READ_PAUSE_MS : READ_PAUSE_MS)) {
@@ -117,6 +132,6 @@
     await pause(FAILURE_PAUSE_MS)
   }
   return repeat(ASK_PAUSE_MS, async () => {
-    current().version < 0 || isReader() ? await lead() : await learn()
+    current().version < 0 || isReader() ? await takeReaderTurn() : await takeTurn()
   }, options.onError)
 }
--- a/src/entry/registry/snapshot.ts
+++ b/src/entry/registry/snapshot.ts
@@ -17,13 +17,13 @@
 /** The registry as of one moment. */
 export interface RegistrySnapshot {
   readonly version: number
-  /** When the question that brought it was sent, on the steady clock, in milliseconds. */
+  /** When the question whose answer it is was sent, on the steady clock, in milliseconds. */
   readonly askedAt: number
   readonly rows: StoreRow[]
   /** Names the rows and their versions: equal digests mean equal rows. */
   readonly digest: string
   readonly hosts: KnownHost[]
-  /** Hosts that have not been given up. */
+  /** Hosts that are not retired. */
   readonly liveHosts: KnownHost[]
   group: (name: string) => Versioned<GroupRow>
   /** Groups at whose primaries nobody may work, and the epoch that is closed. */
@@ -34,7 +34,7 @@
 const HOST_PREFIX = registryKeys.host('')
 const GROUP_PREFIX = registryKeys.group('')
 
-/** Hosts by the rows that tell of them: a row that has not changed is decoded once. */
+/** Decoded hosts by their rows: a row that has not changed is decoded once. */
 const decodedHosts = new WeakMap<StoreRow, KnownHost>()
 
 function decodeHost (row: StoreRow): KnownHost {
@@ -58,7 +58,10 @@
   })
 }
 
-/** The hosts of some rows; the same lists as before when no host has changed, so that what follows from them stands. */
+/**
+ * The hosts of some rows; the same lists as before when no host has changed, so that what is derived from them stays
+ * cached.
+ */
 function decodeHosts (rows: StoreRow[], before?: RegistrySnapshot): Pick<RegistrySnapshot, 'hosts' | 'liveHosts'> {
   const hosts = rows.filter(({ key }) => key.startsWith(HOST_PREFIX)).map(decodeHost)
   const isSame = before?.hosts.length === hosts.length && hosts.every((host, index) => host === before.hosts[index])
--- a/src/entry/registry/table-copy.ts
+++ b/src/entry/registry/table-copy.ts
@@ -1,4 +1,4 @@
-/** A table of the store as this host knows it, and what has changed there, for hosts that don't follow it. */
+/** A table of the store as this host knows it, and its recent changes, for hosts that don't follow it. */
 import { createWaiters } from '../../core/time/waiters.ts'
 import type { StoreRow } from '../ports/index.ts'
 
@@ -16,14 +16,14 @@
 /** A table as this host knows it. */
 export interface TableCopy {
   /**
-   * Takes the whole table.
+   * Replaces the copy by the whole table.
    *
    * @param rows - its rows
    * @param version - version of the store that they are as of
    * @param askedAt - when the store was asked for them, on the steady clock; left out when another host was
    */
   replace: (rows: StoreRow[], version: number, askedAt?: number) => void
-  /** Takes what has changed. */
+  /** Applies changes. */
   update: (changed: StoreRow[], removed: string[], version: number) => void
   /**
    * Waits until there is something new, for a bounded time.
@@ -45,11 +45,11 @@
   readSince: (since: number, timeoutMs: number) => Promise<boolean>
 }
 
-/** Removed rows that are remembered; who knows less gets the whole table. */
+/** Removed rows that are remembered; a requester that knows less gets the whole table. Chosen, not measured. */
 const REMEMBERED_REMOVALS = 200
 
 /**
- * Creates a copy; nothing is known yet.
+ * Creates a copy, which knows nothing yet.
  *
  * @returns the copy
  */
--- a/src/entry/registry/table-exchange.ts
+++ b/src/entry/registry/table-exchange.ts
@@ -1,7 +1,7 @@
 /**
- * Plug-in `tableRelay`: a few hosts follow the tables of the store by themselves, the others ask one of these, which
+ * Plug-in `tableRelay`: a few hosts follow the tables of the store, the others ask one of these by long poll, which
  * answers as soon as something changes. When each of 195 hosts followed each table, every change cost 195 calls, and
- * hosts that the store turned away asked it thirteen times a second each.
+ * hosts that the store rejected asked it thirteen times a second each.
  */
 import * as z from 'zod'
 import { describeThrown } from '../../core/errors/index.ts'
@@ -14,11 +14,11 @@
 
 /** Service of the plug-in. */
 export interface TableExchange {
-  /** Waits until this host knows which others there are, for a bounded time. */
+  /** Waits until this host knows the other hosts, for a bounded time. */
   hostsKnown: () => Promise<void>
-  /** Whether this host follows tables by itself. */
+  /** Whether this host follows tables in the store. */
   isFollower: () => boolean
-  /** Calls back when others do it from now on. */
+  /** Calls back when this host has ceased to be a follower. */
   onRelieved: (listener: () => void) => void
   /** Lets other hosts ask for a table; `readAnew` reads it from the store. */
   serve: (table: string, copy: TableCopy, readAnew: () => void) => void
@@ -27,14 +27,14 @@
    *
    * @param table - the table
    * @param after - version that is known here; undefined for the whole table
-   * @returns what has changed; undefined when nobody could tell
+   * @returns what has changed; undefined when no host could answer
    */
   ask: (table: string, after: number | undefined) => Promise<TableChanges | undefined>
   /**
    * Asks one of those who follow a table to read it anew from the store.
    *
    * @param table - the table
-   * @returns the whole table; undefined when nobody could tell
+   * @returns the whole table; undefined when no host could answer
    */
   askAnew: (table: string) => Promise<TableChanges | undefined>
 }
@@ -45,23 +45,26 @@
 
 /**
  * Time for which a question is held while nothing changes, in milliseconds. A follower that falls silent is noticed in
- * less: its link breaks when it does not answer the next question for the registry.
+ * less: its link breaks when it does not answer the next question for the registry. Chosen, not measured.
  */
 const TABLE_HOLD_MS = 1500
-/** Time to answer beyond that, in milliseconds. */
+/** Time to answer beyond that, in milliseconds: chosen, not measured. */
 const ANSWER_MS = 400
-/** Age of what was read from the store that counts as read anew, in milliseconds: many hosts ask for the same. */
+/** Age of a whole read that counts as read anew, in milliseconds: many hosts ask for the same. Chosen, not measured. */
 const ANEW_MS = 300
 /**
  * Time that a host which has just started waits for the whole table before it reads the store, in milliseconds: some
- * round trips. When all hosts start at once, those that it asks know nothing yet either.
+ * round trips. When all hosts start at once, those that it asks know nothing yet either. Chosen, not measured.
  */
 const FIRST_ANSWER_MS = 40
-/** Time that a host which has just started waits to learn which other hosts there are, in milliseconds. */
+/** Time that a host which has just started waits for the list of hosts, in milliseconds: chosen, not measured. */
 const HOSTS_KNOWN_MS = 300
-/** Followers that are asked in one turn. */
+/** Followers that are asked in one turn: chosen, not measured. */
 const FOLLOWERS_ASKED = 2
-/** Greatest age of a follower's own knowledge of the registry, in milliseconds: an older one may be cut off. */
+/**
+ * Greatest age of a serving host's registry, in milliseconds: with an older one it may be cut off. Chosen, not
+ * measured.
+ */
 const IN_TOUCH_MS = 2500
 
 const questionSchema = z.object({
@@ -130,7 +133,7 @@
         if (changes !== undefined) {
           return changes
         }
-        recentFailures.note(host)
+        recentFailures.record(host)
       }
       return undefined
     }
--- a/src/entry/registry/types.ts
+++ b/src/entry/registry/types.ts
@@ -4,23 +4,23 @@
 /** Table of the rows. */
 export const REGISTRY_TABLE = 'worksward'
 
-/** A host on which an entry process runs or ran. */
+/** Row of a host on which an entry process runs or ran. */
 export const hostRowSchema = z.object({
   address: z.string(),
   /** Port for peers. */
   port: z.number().int(),
   failureDomain: z.string(),
-  /** Identity of the running process; a restart makes another one. {@link RETIRED_PROCESS} when it was given up. */
+  /** Identity of the running process; a restart makes another one. {@link RETIRED_PROCESS} when it was retired. */
   process: z.string(),
   /** Groups at whose primaries the process has stopped working, and the newest epoch for which that is certain. */
   stopped: z.record(z.string(), z.number().int()).optional(),
-  /** Whether the process has been told to stop: it finishes what it has, and others should do what is new. */
+  /** Whether the process is stopping: it finishes what it has, and others take new work. */
   leaving: z.boolean().optional(),
-  /** Time of the store's clock at which the last right of a retired process has lapsed, in milliseconds. */
+  /** Time of the store's clock at which the last lease of a retired process has expired, in milliseconds. */
   retiredUntilMs: z.number().optional()
 })
 
-/** Stands for the process of a host that peers have given up. */
+/** Stands for the process of a host that peers have retired. */
 export const RETIRED_PROCESS = 'retired'
 
 /** Who leads a group. */
@@ -28,7 +28,7 @@
   /** Raised whenever work at the primary is allowed or stopped anew. */
   epoch: z.number().int(),
   primary: z.string(),
-  /** When the primary started, as it tells; one that has started again since holds nothing of the group's log. */
+  /** When the primary started, by its own row; one that has started again since holds nothing of the group's log. */
   primaryBornAt: z.number().optional(),
   /** `open`: hosts may work at the primary. `closed`: they may not; a successor is being made. */
   state: z.enum(['open', 'closed']),
@@ -36,7 +36,7 @@
   term: z.number().int(),
   /** Host that wrote the row. */
   writtenBy: z.string(),
-  /** Identity of the succession that wrote the row last; empty in an open row. */
+  /** Identity of the failover that wrote the row last; empty in an open row. The stored name is fixed. */
   succession: z.string()
 })
 
@@ -68,12 +68,13 @@
 export const registryKeys = {
   host: (name: string): string => `host/${name}`,
   group: (name: string): string => `group/${name}`,
+  /** The stored key is fixed. */
   promotionLease: 'duty/promotion'
 } as const
 
 /** Body of the question for a peer's snapshot. */
 export const snapshotQuestionSchema = z.object({
-  /** Names the rows that who asks has; left out when it wants all. */
+  /** Digest of the rows that the requester has; left out when it wants all. */
   digest: z.string().optional(),
   /** Version of the store that these rows are as of. */
   version: z.number().optional(),
@@ -85,13 +86,13 @@
 export const snapshotReplySchema = z.object({
   version: z.number(),
   digest: z.string(),
-  /** All rows, or those that have changed since the version that was named; left out when who asks has them. */
+  /** All rows, or those that have changed since the version that was named; left out when the requester has them. */
   rows: z.array(z.object({ key: z.string(), value: z.string(), version: z.number() })).optional(),
   /** Whether `rows` are only those that have changed. */
   isChange: z.boolean().optional(),
   /** Time since the question to the store was sent, in milliseconds. */
   ageMs: z.number(),
-  /** Whether the host that answers has read it from the store by itself lately. */
+  /** Whether the host that answers has recently read it from the store itself. */
   isReading: z.boolean()
 })
 
--- a/test/entry/leadership/promotion-lease.test.ts
+++ b/test/entry/leadership/promotion-lease.test.ts
@@ -2,7 +2,7 @@
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { expect } from 'earl'
 import { silentLogger } from '../../../src/core/logger/index.ts'
-import { PROMOTION_LEASE_MS } from '../../../src/entry/leadership/consts.ts'
+import { PROMOTION_LEASE_MS } from '../../../src/entry/leadership/promotion-lease.ts'
 import { createPromotionLease, type PromotionLease } from '../../../src/entry/leadership/promotion-lease.ts'
 import type { PromotionLeaseRow, Registry } from '../../../src/entry/registry/index.ts'
 
@@ -67,7 +67,7 @@
   it('stays for its whole lease once a promotion was ordered', async () => {
     const lease = shared.leaseOf('h1')
     await lease.hold()
-    lease.noteOrder()
+    lease.recordOrder()
     await lease.release()
     expect(await shared.leaseOf('h2').hold()).toEqual(undefined)
     await clock.tickAsync(PROMOTION_LEASE_MS + 1)
--- a/test/entry/process/failover.test.ts
+++ b/test/entry/process/failover.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { findLeader, type Candidate } from '../../../src/entry/leadership/promote.ts'
+import { findLeader, type Candidate } from '../../../src/entry/leadership/choose-successor.ts'
 import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
 function candidate (upstream: string, role: 'primary' | 'replica', term: number): Candidate {
--- a/test/entry/registry/snapshot-exchange.test.ts
+++ b/test/entry/registry/snapshot-exchange.test.ts
@@ -16,7 +16,12 @@
   it('is built of what has changed, as old as the peer has told', () => {
     const now = createSnapshot([hostRow('a', 3), hostRow('aa', 9), hostRow('b', 8)], 9, 900)
     const merged = mergeSnapshotReply(before, {
-      version: 9, digest: now.digest, rows: [hostRow('aa', 9), hostRow('b', 8)], isChange: true, ageMs: 100, isReading: true
+      version: 9,
+      digest: now.digest,
+      rows: [hostRow('aa', 9), hostRow('b', 8)],
+      isChange: true,
+      ageMs: 100,
+      isReading: true
     }, ASKED_AT)
     expect({ ...merged, group: 0 }).toEqual({ ...now, askedAt: 900, group: 0 })
   })
@@ -28,13 +33,15 @@
   })
 
   it('is what stood before, only younger, when nothing has changed', () => {
-    const merged = mergeSnapshotReply(before, { version: 12, digest: before.digest, ageMs: 20, isReading: true }, ASKED_AT)
+    const reply = { version: 12, digest: before.digest, ageMs: 20, isReading: true }
+    const merged = mergeSnapshotReply(before, reply, ASKED_AT)
     expect({ version: merged?.version, askedAt: merged?.askedAt, rows: merged?.rows })
       .toEqual({ version: 12, askedAt: 980, rows: before.rows })
   })
 
   it('replaces what stood before when it comes whole', () => {
-    const merged = mergeSnapshotReply(before, { version: 9, digest: 'd', rows: [hostRow('c', 9)], ageMs: 0, isReading: true }, ASKED_AT)
+    const reply = { version: 9, digest: 'd', rows: [hostRow('c', 9)], ageMs: 0, isReading: true }
+    const merged = mergeSnapshotReply(before, reply, ASKED_AT)
     expect(merged?.hosts.map(({ name }) => name)).toEqual(['c'])
   })
 })
--- a/test/entry/registry/snapshot-refresh.test.ts
+++ b/test/entry/registry/snapshot-refresh.test.ts
@@ -1,7 +1,7 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { expect } from 'earl'
-import { EXTEND_AFTER_MS } from '../../../src/entry/leadership/consts.ts'
+import { EXTEND_AFTER_MS } from '../../../src/entry/leadership/extensions.ts'
 import { keepSnapshotFresh, POLL_MS } from '../../../src/entry/registry/snapshot-refresh.ts'
 import { followersOf, readersOf } from '../../../src/entry/registry/readers.ts'
 import { UNKNOWN_REGISTRY, type KnownHost, type RegistrySnapshot } from '../../../src/entry/registry/snapshot.ts'
@@ -35,7 +35,7 @@
       current: () => this.snapshot,
       confirmedAgeMs: () => this.ageMs(),
       registeredMs: 15_000,
-      relay: { askReader: async (reader) => this.ask(reader, reading) },
+      exchange: { askReader: async (reader) => this.ask(reader, reading) },
       readAndRegister: async () => false,
       onError: () => {}
     })
--- a/test/frozen/rows.test.ts
+++ b/test/frozen/rows.test.ts
@@ -108,8 +108,8 @@
     const { port } = JSON.parse(rowOf('h1')) as { port: number }
     const before = `{"address":"127.0.0.1","port":${port},"failureDomain":"x","process":"${process}"`
     expect(rowOf('h1')).toEqual(`${before}}`)
-    await suite.settle(registry.tellStopped('g', 5))
-    await suite.settle(registry.tellStopped('other', 2))
+    await suite.settle(registry.publishStopped('g', 5))
+    await suite.settle(registry.publishStopped('other', 2))
     expect(rowOf('h1')).toEqual(`${before},"stopped":{"g":5,"other":2}}`)
   })
 })
