--- /dev/null
+++ b/test/entry/leadership/choose-successor.test.ts
@@ -0,0 +1,38 @@
+import { describe, it } from 'node:test'
+import { expect } from 'earl'
+import { chooseSuccessors, type Candidate } from '../../../src/entry/leadership/choose-successor.ts'
+
+/** Options of {@link candidate}. */
+interface CandidateOptions {
+  term?: number
+  position?: number
+  draining?: boolean
+}
+
+function candidate (name: string, { term = 2, position = 10, draining = false }: CandidateOptions = {}): Candidate {
+  const endpoint = { address: '127.0.0.1', port: 1 }
+  return {
+    upstream: { upstream: name, group: 'g', endpoint, failureDomain: 'x', slots: 3, draining, claimsPrimary: false },
+    report: { role: 'replica', term, received: { term, position } }
+  }
+}
+
+const order = (candidates: Candidate[], closedMs = 0): string[] =>
+  chooseSuccessors(candidates, { oldPrimary: 'old', term: 2, closedMs }).map(({ upstream }) => upstream.upstream)
+
+describe('the choice of a successor', () => {
+  it('prefers what has received most, then the first by name', () => {
+    expect(order([candidate('c'), candidate('b'), candidate('a', { position: 9 })])).toEqual(['b', 'c', 'a'])
+  })
+
+  it('takes the old primary only after all that stay, and those that leave last', () => {
+    const candidates = [candidate('d', { position: 30, draining: true }), candidate('old', { position: 20 }), candidate('a')]
+    expect(order(candidates)).toEqual(['a', 'old', 'd'])
+  })
+
+  it('leaves out what has missed the closed term, for ten seconds', () => {
+    const candidates = [candidate('a', { term: 1 }), candidate('b')]
+    expect(order(candidates, 9999)).toEqual(['b'])
+    expect(order(candidates, 10_000)).toEqual(['b', 'a'])
+  })
+})
