--- a/src/explain/clock-offsets.ts
+++ b/src/explain/clock-offsets.ts
@@ -1,7 +1,11 @@
 /**
- * How far the clocks of hosts differ, from pairs of lines of which one caused the other: a host says that it stops
- * working at a primary (`leadership.closing`) after the promoter has begun (`failover.started`) and before the
- * promoter notes it (`leadership.host-closed`).
+ * Decides how far the clocks of hosts differ, from pairs of lines of which one caused the other.
+ *
+ * - Inputs: log lines of all hosts, with times in milliseconds of the epoch.
+ * - Rule: a host logs that it stops working at a primary (`leadership.closing`) after the promoter has begun
+ *   (`failover.started`) and before the promoter logs the acknowledgement (`leadership.host-closed`). A host whose line
+ *   is outside of that interval is shifted to its middle.
+ * - Why: clocks of hosts are not synchronised well enough to order lines of different hosts.
  */
 import type { LogEntry } from './parse-log.ts'
 
--- a/src/explain/parse-log.ts
+++ b/src/explain/parse-log.ts
@@ -13,10 +13,10 @@
 const PAIR = /([A-Za-z-]+)=("(?:[^"\\]|\\.)*"|\S*)/g
 
 /**
- * Reads one line. What stands before the first pair, such as the prefix of a collector, is passed over.
+ * Reads one line. What stands before the first pair, such as the prefix of a collector, is skipped.
  *
  * @param line - the line
- * @returns the entry; undefined when the line is none of ours
+ * @returns the entry; undefined when it is not a line of worksward's log
  */
 export function parseLogLine (line: string): LogEntry | undefined {
   const fields: Record<string, string> = {}
@@ -35,7 +35,7 @@
   try {
     return JSON.parse(text) as string
   } catch {
-    // A line that was cut in the middle still tells something.
+    // The line was cut in the middle of a quoted value: what is left of it is still useful to a reader.
     return text.slice(1)
   }
 }
--- a/src/explain/story.ts
+++ b/src/explain/story.ts
@@ -1,17 +1,17 @@
-/** The story of one request: its own lines, and what its host and its group went through meanwhile. */
+/** The story of one request: its own lines, and the events of its host and its group around it. */
 import { estimateOffsets } from './clock-offsets.ts'
 import type { LogEntry } from './parse-log.ts'
 
-/** How long before a request began its story looks back, in milliseconds: longer than any lease lasts. */
+/** How long before a request began its story looks back, in milliseconds: chosen, not measured. */
 const LOOK_BACK_MS = 12_000
-/** How long after its end the story goes on, in milliseconds: a silent upstream is noticed within that time. */
+/** How long after its end the story goes on, in milliseconds: a silent upstream is noticed within it, chosen. */
 const LOOK_ON_MS = 1500
-/** Age of an input beyond which it is pointed out, in milliseconds: two reads of the registry have failed. */
+/** Age of an input beyond which it is reported, in milliseconds: derived, two reads of the registry have failed. */
 const OLD_INPUT_MS = 4500
 
 /** A line of the story. */
 interface StoryLine {
-  /** Time relative to the request's end, with the host's clock set right, in milliseconds. */
+  /** Time relative to the request's end, with the host's clock corrected, in milliseconds. */
   atMs: number
   entry: LogEntry
   /** Whether it is a line of the request itself. */
@@ -21,19 +21,19 @@
 /** The story of a request. */
 interface Story {
   lines: StoryLine[]
-  /** What the lines show to be the cause, most telling first. */
+  /** Causes that the lines show, in the order of the lines; old inputs come last. */
   findings: string[]
   /** What was added to the times of other hosts, in milliseconds. */
   offsets: Map<string, number>
 }
 
-/** Events of other hosts that say something about a group everywhere. */
+/** Events of other hosts that concern a group on all hosts. */
 const GROUP_EVENTS = /^(failover\.|promotion-lease\.|leadership\.|upstream\.unreachable)/
-/** Events that say something about every group of a host. */
+/** Events of a host that concern all its groups. */
 const HOST_EVENTS = /^(store\.|feed\.|leadership\.lease|process\.|desired-state\.|registry\.(registered|host-retired))/
 
 /**
- * Tells the story of a request.
+ * Collects the story of a request.
  *
  * @param entries - lines of all processes
  * @param requestId - id of the request
@@ -63,7 +63,7 @@
   return { lines, findings: findCauses(lines, last), offsets }
 }
 
-/** What a line says about the cause; undefined when it says nothing. */
+/** Describes the cause that a line shows; undefined when it shows none. */
 type Finder = (line: StoryLine, last: LogEntry) => string | undefined
 
 const FINDERS: Record<string, Finder> = {
