--- a/src/entry/requests/choose-upstream.ts
+++ b/src/entry/requests/choose-upstream.ts
@@ -66,8 +66,8 @@
 function costOf (
   { failureDomain, homes }: EntryContext, { known, used, home }: ReadChoice, position: LogPosition, isPrimary: boolean
 ): number {
-  const { health, pool, queue: gate } = used
-  const busy = gate.running + gate.waiting + homes.loadOf(known.upstream)
+  const { health, pool, queue } = used
+  const busy = queue.running + queue.waiting + homes.loadOf(known.upstream)
   const hasReached = health.reached !== undefined && comparePositions(health.reached, position) >= 0
   return health.latencyMs * (1 + busy / known.slots) +
     (known.failureDomain === failureDomain ? 0 : OTHER_DOMAIN_MS) +
--- a/src/entry/requests/primary-access.ts
+++ b/src/entry/requests/primary-access.ts
@@ -1,65 +1,46 @@
-/** The way to the primary of a group: through one of its homes, or directly while this host has the right to it. */
-import { RequestError } from '../../core/errors/index.ts'
+/**
+ * The way to the primary of a group: through one of its homes, or directly while this host holds its lease.
+ *
+ * How long does a request wait for a primary? Inputs, in milliseconds: the time left of its deadline, and the time in
+ * which leadership expects the next primary, 0 while no failover is expected. At 0 it waits for {@link WAIT_SHARE} of
+ * its time. When the primary is expected within what is left less {@link ANSWER_RESERVE_MS}, it waits for all of that.
+ * Otherwise it is refused at once, and told to come back after the expected time, {@link RETRY_AFTER_MS} at least.
+ */
+import { describeThrown, RequestError } from '../../core/errors/index.ts'
 import { pause } from '../../core/time/deadline.ts'
-import type { ConnectionLease, UsedUpstream } from '../pools/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
-import {
-  ANSWER_RESERVE_MS, DRAIN_RESERVE_MS, NOT_RUN_PAUSE_MS, QUEUE_LEAST_MS, QUEUE_SHARE, RETRY_AFTER_MS, WAIT_SHARE
-} from './consts.ts'
-import { createHomeSeat } from './home-seat.ts'
-import { createLocalSeat, holds, type LocalSeat, type Seat } from './seat.ts'
+import { acquireConnection, WAIT_SHARE } from './acquire-connection.ts'
+import { createForwardingExecutor } from './forwarding-executor.ts'
+import { createLocalExecutor, holdsLease, type LocalExecutor } from './local-executor.ts'
+import { NOT_RUN_PAUSE_MS } from './retry-rules.ts'
+import type { StatementExecutor } from './statement-executor.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
-/** A connection whose user has its turn at the upstream. */
-interface Turn {
-  lease: ConnectionLease
-  /** Ends the turn; the connection may be kept for a transaction. */
-  leave: () => void
-}
-
+/** Time after which callers are told to come back when there is no primary, in milliseconds: about one promotion. */
+export const RETRY_AFTER_MS = 300
 /**
- * Waits for a turn and a connection, and measures the wait, which ends early enough for an answer in time.
- *
- * @param context - the rest of the process
- * @param scope - the request
- * @param used - the upstream
- * @param greatestWaitMs - greatest wait, in milliseconds
- * @returns the turn and the connection
- * @throws RequestError with verdict `not-run`
+ * Time of a request that is kept for the statement itself while it waits for a primary, in milliseconds: the longest
+ * ordinary statement takes 170 ms, and few do.
  */
-export async function acquire (
-  { measures }: EntryContext, { organisation, values, priority, costMs, inTimeUntil }: RequestScope,
-  { pool, queue: gate }: UsedUpstream, greatestWaitMs: number
-): Promise<Turn> {
-  const startedAt = performance.now()
-  const inTimeMs = Math.max(QUEUE_LEAST_MS, (inTimeUntil - startedAt) * QUEUE_SHARE)
-  const waitMs = Math.min(greatestWaitMs, inTimeMs)
-  let leave = (): void => {}
-  try {
-    leave = await gate.enter({ priority, costMs, waitMs })
-    const leftMs = Math.max(1, waitMs - (performance.now() - startedAt))
-    const lease = await pool.acquire({ organisation, values, priority, waitMs: leftMs })
-    measures.queue('done', performance.now() - startedAt)
-    return { lease, leave }
-  } catch (thrown) {
-    leave()
-    measures.queue('failed', performance.now() - startedAt)
-    throw thrown
-  }
-}
+const ANSWER_RESERVE_MS = 100
+/**
+ * Time of `drainMs` that is kept back, so that what is under way still arrives before its end, in milliseconds. Chosen,
+ * not measured.
+ */
+const DRAIN_RESERVE_MS = 1500
 
-/** Why there is no seat at a primary yet; it may help to try again soon. */
+/** Why there is no executor at a primary yet; it may help to try again soon. */
 type NotYet = { notYet: string }
 
 /**
- * Takes a seat at the primary, waiting for a primary for a part of the request's time.
+ * Takes an executor at the primary, waiting for a primary for a part of the request's time.
  *
  * @param context - the rest of the process
  * @param scope - the request
- * @returns the seat
+ * @returns the executor
  * @throws RequestError with verdict `not-run`
  */
-export async function seatAtPrimary (context: EntryContext, scope: RequestScope): Promise<Seat> {
+export async function executorAtPrimary (context: EntryContext, scope: RequestScope): Promise<StatementExecutor> {
   const { leadership, directory } = context
   const { group, deadline } = scope
   const greatestWait = performance.now() + deadline.leftMs * WAIT_SHARE
@@ -73,8 +54,8 @@
     const known = directory.get(primary.upstream)
     const outcome = known === undefined || !mayTakeWork(known, context.drainMs)
       ? { notYet: 'the primary is leaving' }
-      : seatThroughHome(context, scope, known, primary.epoch) ??
-        await seatHere(context, scope, known, until - performance.now())
+      : forwardingExecutorAtPrimary(context, scope, known, primary.epoch) ??
+        await localExecutorAtPrimary(context, scope, known, until - performance.now())
     if (!('notYet' in outcome)) {
       return outcome
     }
@@ -101,35 +82,35 @@
   return performance.now() + (expectedMs > leftMs ? 0 : leftMs)
 }
 
-function seatThroughHome (
+function forwardingExecutorAtPrimary (
   context: EntryContext, scope: RequestScope, known: KnownUpstream, epoch: number
-): Seat | undefined {
+): StatementExecutor | undefined {
   const home = context.homes.choose(known, scope.triedHomes, scope.organisation)
   if (home === undefined) {
     return undefined
   }
   scope.attempts++
-  return createHomeSeat(context, { home, known, used: context.pools.of(known), epoch })
+  return createForwardingExecutor(context, { home, known, used: context.pools.of(known), epoch })
 }
 
 /**
- * Takes a connection of this host to a primary, if it has the right to work there.
+ * Takes a connection of this host to a primary, if the host holds a lease on working there.
  *
  * @param context - the rest of the process
  * @param scope - the request
  * @param known - the primary
- * @param waitMs - greatest wait for the right and for the connection, in milliseconds
- * @returns the seat, or why there is none yet
+ * @param waitMs - greatest wait for the lease and for the connection, in milliseconds
+ * @returns the executor, or why there is none yet
  * @throws RequestError `Overloaded`: there is a primary, and it has more work than it can do
  */
-export async function seatHere (
+export async function localExecutorAtPrimary (
   context: EntryContext, scope: RequestScope, known: KnownUpstream, waitMs: number
-): Promise<LocalSeat | NotYet> {
+): Promise<LocalExecutor | NotYet> {
   const { leadership, pools } = context
   const until = performance.now() + waitMs
-  const right = await leadership.wait(known.group, waitMs)
-  if (right?.upstream !== known.upstream) {
-    return { notYet: right === undefined ? 'this host has no right to work at the primary' : 'the primary has changed' }
+  const primaryLease = await leadership.wait(known.group, waitMs)
+  if (primaryLease?.upstream !== known.upstream) {
+    return { notYet: primaryLease === undefined ? 'this host has no right to work at the primary' : 'the primary has changed' }
   }
   const used = pools.of(known)
   if (used.health.unreachableSince !== undefined) {
@@ -140,20 +121,19 @@
   leadership.reached(known.group)
   scope.attempts++
   try {
-    const turn = await acquire(context, scope, used, Math.max(1, until - performance.now()))
-    if (holds(context, known.group, right)) {
-      return createLocalSeat(context, { known, used, ...turn, right })
+    const turn = await acquireConnection(context, scope, used, Math.max(1, until - performance.now()))
+    if (holdsLease(context, known.group, primaryLease)) {
+      return createLocalExecutor(context, { known, used, ...turn, primaryLease })
     }
     turn.lease.release()
     turn.leave()
     return { notYet: 'the primary has changed' }
   } catch (thrown) {
-    const error = thrown as RequestError
     // Waiting on at a primary with too much work makes everyone late.
-    if (error.entry === 'Overloaded') {
-      throw error
+    if (thrown instanceof RequestError && thrown.entry === 'Overloaded') {
+      throw thrown
     }
-    return { notYet: error.message }
+    return { notYet: describeThrown(thrown) }
   }
 }
 
--- a/src/entry/requests/prove-position.ts
+++ b/src/entry/requests/prove-position.ts
@@ -4,8 +4,8 @@
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import { Deadline } from '../../core/time/deadline.ts'
-import { seatHere } from './primary-access.ts'
-import { noteAnswer } from './reads.ts'
+import { localExecutorAtPrimary } from './primary-access.ts'
+import { recordAnswer } from './record-answer.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
 /** Time that it may take, in milliseconds: two round trips, and opening a connection. */
@@ -34,8 +34,8 @@
 
   const ask = async (group: string): Promise<void> => {
     const { leadership, directory, homes, logger } = context
-    const right = leadership.of(group)
-    const known = right === undefined ? undefined : directory.get(right.upstream)
+    const primaryLease = leadership.of(group)
+    const known = primaryLease === undefined ? undefined : directory.get(primaryLease.upstream)
     // While a primary is lost, the question would only hold up the reads that wait for it.
     if (known === undefined || !homes.isHome(known) || leadership.expectedMs(group) > 0) {
       return
@@ -54,11 +54,11 @@
       triedHomes: new Set()
     }
     try {
-      const seat = await seatHere(context, scope, known, PROVE_MS)
-      if ('notYet' in seat) {
+      const executor = await localExecutorAtPrimary(context, scope, known, PROVE_MS)
+      if ('notYet' in executor) {
         return
       }
-      noteAnswer(context, scope, await seat.proveLead(scope))
+      recordAnswer(context, scope, await executor.proveLead(scope))
     } catch (thrown) {
       logger.log('info', 'freshness.not-proven', { group, upstream: known.upstream, reason: describeThrown(thrown) })
     }
--- a/src/entry/requests/reads.ts
+++ b/src/entry/requests/reads.ts
@@ -1,14 +1,24 @@
-/** Reads: where they go, and what is tried when an upstream does not serve them. */
-import { RequestError } from '../../core/errors/index.ts'
+/**
+ * Serves single reads.
+ *
+ * Where may a read run? Inputs: the route's freshness with its greatest age in milliseconds, when the read arrived on
+ * the steady clock, the session's own writes, and what this host or a peer can prove of the primary's log. A read that
+ * must see everything goes to the primary; any other one goes wherever the log has reached the proven position, and to
+ * the primary when nothing is proven. What is repeated is decided in `retry-rules.ts`.
+ */
+import { describeThrown } from '../../core/errors/index.ts'
 import { pause } from '../../core/time/deadline.ts'
-import { verdictOf, type FailureKind, type Freshness, type StatementAnswer } from '../ports/index.ts'
+import type { Freshness, StatementAnswer } from '../ports/index.ts'
 import { formatPosition, type LogPosition } from '../../positions/position.ts'
+import { acquireConnection, WAIT_SHARE } from './acquire-connection.ts'
+import { attemptStatement, failureCauseOf, finalAnswerOf } from './attempt.ts'
 import { chooseForRead } from './choose-upstream.ts'
-import { NOT_RUN_PAUSE_MS, READ_ATTEMPTS, WAIT_SHARE } from './consts.ts'
-import { createHomeSeat } from './home-seat.ts'
-import { acquire, seatAtPrimary } from './primary-access.ts'
-import type { TimedAnswer } from './run-statement.ts'
-import { createLocalSeat, type Seat } from './seat.ts'
+import { createForwardingExecutor } from './forwarding-executor.ts'
+import { createLocalExecutor } from './local-executor.ts'
+import { executorAtPrimary } from './primary-access.ts'
+import { recordLag } from './record-answer.ts'
+import { decideRead, retryLabel, retryReason, type RetryCause } from './retry-rules.ts'
+import type { StatementExecutor } from './statement-executor.ts'
 import type { DataWork, EntryContext, RequestScope } from './types.ts'
 
 /**
@@ -17,7 +27,7 @@
 export type ReadPlace = { type: 'primary' } | { type: 'after', position: LogPosition }
 
 /**
- * Says where a read may run; asks peers for a proof of freshness when this host has none.
+ * Decides where a read may run; asks peers for a proof of freshness when this host has none.
  *
  * @param context - the rest of the process
  * @param group - the group
@@ -50,83 +60,49 @@
 }
 
 /**
- * Takes a seat at which a read may run.
+ * Returns an executor at an upstream where a read may run.
  *
  * @param context - the rest of the process
  * @param scope - the request
  * @param place - where it may run
  * @param tried - upstreams that have been tried
- * @returns the seat
+ * @returns the executor
  * @throws RequestError with verdict `not-run`
  */
-export async function seatForRead (
+export async function executorForRead (
   context: EntryContext, scope: RequestScope, place: ReadPlace, tried: Set<string>
-): Promise<Seat> {
+): Promise<StatementExecutor> {
   if (place.type === 'primary') {
-    return await seatAtPrimary(context, scope)
+    return await executorAtPrimary(context, scope)
   }
   for (;;) {
     const chosen = chooseForRead(context, scope, place.position, tried)
     if (chosen === undefined) {
-      return await seatAtPrimary(context, scope)
+      return await executorAtPrimary(context, scope)
     }
     scope.attempts++
     const { known, used, home } = chosen
     if (home !== undefined) {
-      return createHomeSeat(context, { home, known, used, after: place.position })
+      return createForwardingExecutor(context, { home, known, used, after: place.position })
     }
     try {
       const waitMs = Math.max(1, scope.deadline.leftMs * WAIT_SHARE / 2)
-      const turn = await acquire(context, scope, used, waitMs)
-      const right = context.leadership.of(scope.group)
-      const isPrimary = right?.upstream === known.upstream
-      return createLocalSeat(context, {
-        known, used, ...turn, after: place.position, right: isPrimary ? right : undefined
+      const turn = await acquireConnection(context, scope, used, waitMs)
+      const primaryLease = context.leadership.of(scope.group)
+      const isPrimary = primaryLease?.upstream === known.upstream
+      return createLocalExecutor(context, {
+        known, used, ...turn, after: place.position, primaryLease: isPrimary ? primaryLease : undefined
       })
     } catch (thrown) {
       scope.deadline.check('not-run', 'looking for an upstream')
       context.logger.log('info', 'read.upstream-unavailable', {
-        id: scope.requestId, group: scope.group, upstream: known.upstream, reason: (thrown as Error).message
+        id: scope.requestId, group: scope.group, upstream: known.upstream, reason: describeThrown(thrown)
       })
       tried.add(known.upstream)
     }
   }
 }
 
-/** Failures of an upstream that is not the primary, or has lost what it had. */
-const NOT_OF_PRIMARY: ReadonlySet<FailureKind | undefined> = new Set<FailureKind>(['read-only', 'lagging'])
-
-/**
- * Takes note of an answer: what it proves of the primary's log, and how long the statement took.
- *
- * @param context - the rest of the process
- * @param scope - the request
- * @param timed - the answer
- */
-export function noteAnswer (
-  { freshness, costs }: EntryContext, { group, database }: RequestScope, { answer, sentAt, ranMs, epoch }: TimedAnswer
-): void {
-  if (epoch !== undefined && answer.position !== undefined && !NOT_OF_PRIMARY.has(answer.failure?.kind)) {
-    freshness.of(group).record(epoch, sentAt, answer.position)
-  }
-  if (database !== undefined && answer.signature !== undefined && ranMs > 0) {
-    costs.record(database, ranMs)
-  }
-}
-
-/** What a failed try of a read means. */
-type Consequence = 'answer' | 'elsewhere' | 'again'
-
-const CONSEQUENCES: Partial<Record<NonNullable<StatementAnswer['failure']>['kind'], Consequence>> = {
-  busy: 'elsewhere',
-  lagging: 'elsewhere',
-  misrouted: 'elsewhere',
-  'read-only': 'elsewhere',
-  failed: 'elsewhere',
-  timeout: 'elsewhere',
-  'unknown-statement': 'again'
-}
-
 /**
  * Serves a single read.
  *
@@ -142,78 +118,49 @@
 ): Promise<StatementAnswer & { upstream: string }> {
   const tried = new Set<string>()
   for (;;) {
-    const seat = await seatForRead(context, scope, place, tried)
-    const name = seat.known.upstream
-    const last = scope.attempts >= READ_ATTEMPTS
-    try {
-      const timed = await seat.runSingle(scope, work, true)
-      noteAnswer(context, scope, timed)
-      const { answer } = timed
-      noteLag(seat, answer)
-      const consequence = answer.failure === undefined ? 'answer' : CONSEQUENCES[answer.failure.kind] ?? 'answer'
-      if (consequence === 'answer' || last || !mayRepeat(context, answer)) {
-        return { ...answer, upstream: name }
-      }
-      if (answer.failure !== undefined && verdictOf(answer.failure.kind) !== 'not-run') {
-        context.limits.countAgain(scope.organisation ?? '')
-      }
-      logRepeat(context, scope, name, answer.failure?.kind ?? '', place)
-      if (consequence === 'elsewhere') {
-        tried.add(name)
-      }
-      if (answer.failure?.kind === 'busy' || place.type === 'primary') {
-        await pause(NOT_RUN_PAUSE_MS)
-      }
-    } catch (thrown) {
-      const error = thrown as RequestError
-      // A home that is gone says nothing of the upstream.
-      if (error.entry !== 'PeerUnavailable') {
-        tried.add(name)
-      }
-      if (last || scope.deadline.passed || !(error.verdict === 'not-run' || context.budget.spend())) {
-        throw error
-      }
-      if (error.verdict !== 'not-run') {
-        context.limits.countAgain(scope.organisation ?? '')
-      }
-      logRepeat(context, scope, name, error.message, place)
+    const executor = await executorForRead(context, scope, place, tried)
+    const { upstream } = executor.known
+    const outcome = await attemptStatement(context, scope, work, executor)
+    if ('answer' in outcome) {
+      recordLag(executor, outcome.answer)
+    }
+    const cause = failureCauseOf(outcome)
+    if (cause === undefined) {
+      return { ...finalAnswerOf(outcome), upstream }
+    }
+    const decision = decideRead(cause, {
+      attempts: scope.attempts,
+      primaryOnly: place.type === 'primary',
+      deadlinePassed: scope.deadline.passed,
+      spendBudget: context.budget.spend
+    })
+    if (decision.action === 'give-up') {
+      return { ...finalAnswerOf(outcome), upstream }
+    }
+    if (decision.mayHaveRun) {
+      context.limits.countAgain(scope.organisation ?? '')
+    }
+    logRepeat(context, scope, upstream, cause, place)
+    if (decision.elsewhere) {
+      tried.add(upstream)
+    }
+    if (decision.pauseMs > 0) {
+      await pause(decision.pauseMs)
     }
-  }
-}
-
-/** A read that was not run is repeated freely; one that ran and failed takes from the budget. */
-function mayRepeat (context: EntryContext, { failure }: StatementAnswer): boolean {
-  return (failure?.kind !== 'failed' && failure?.kind !== 'timeout') || context.budget.spend()
-}
-
-/**
- * Remembers whether a replica lagged, and how far its log is.
- *
- * @param seat - where the statement ran
- * @param answer - its answer
- */
-export function noteLag ({ used, after }: Seat, answer: StatementAnswer): void {
-  if (answer.position !== undefined) {
-    used.health.reachedPosition(answer.position)
-  }
-  if (answer.failure?.kind === 'lagging') {
-    used.health.lagged()
-  } else if (answer.failure === undefined && after !== undefined) {
-    used.health.caughtUp()
   }
 }
 
 function logRepeat (
   { logger, measures }: EntryContext, { requestId, group, attempts, home }: RequestScope, upstream: string,
-  reason: string, place: ReadPlace
+  cause: RetryCause, place: ReadPlace
 ): void {
-  measures.retry(reason.includes(' ') ? 'connection' : reason)
+  measures.retry(retryLabel(cause))
   logger.log('info', 'read.repeated', {
     id: requestId,
     group,
     upstream,
     home,
-    reason,
+    reason: retryReason(cause),
     attempts,
     floor: place.type === 'after' ? formatPosition(place.position) : 'primary'
   })
--- a/src/entry/requests/run-statement.ts
+++ b/src/entry/requests/run-statement.ts
@@ -4,9 +4,14 @@
 import { alignValues, prepareOn, type ConnectionLease, type UsedUpstream } from '../pools/index.ts'
 import type { StatementAnswer, UpstreamCommand } from '../ports/index.ts'
 import type { LogPosition } from '../../positions/position.ts'
-import { SILENCE_MS } from './consts.ts'
 import type { DataWork } from './types.ts'
 
+/**
+ * Time without any answer of an upstream after which a statement there makes it suspect, in milliseconds: ten times an
+ * ordinary one. The upstream is then asked, which costs one of its slots for 12 ms when it is only slow.
+ */
+const SILENCE_MS = 300
+
 /** The command that runs a statement; `name` is the prepared statement's name on the connection. */
 function commandOf (work: DataWork, name: string, after?: LogPosition): UpstreamCommand {
   const { requestId } = work
@@ -20,9 +25,9 @@
   used: UsedUpstream
   lease: ConnectionLease
   deadline: Deadline
-  /** Takes the time at the upstream, by outcome. */
+  /** Records the time at the upstream, by outcome. */
   onTime: (outcome: string, durationMs: number) => void
-  /** Told when the upstream has answered nobody since the statement was sent; true gives the statement up. */
+  /** Called when the upstream has answered nobody since the statement was sent; true gives the statement up. */
   onSilence: () => boolean
 }
 
@@ -30,7 +35,7 @@
 export interface TimedAnswer {
   answer: StatementAnswer
   sentAt: number
-  /** Time that the upstream took, in milliseconds; 0 when it has not been told. */
+  /** Time that the upstream took, in milliseconds; 0 when it is not known. */
   ranMs: number
   /** Epoch in which the upstream answered as the primary; undefined when it need not have been one. */
   epoch?: number
--- a/src/entry/requests/transaction.ts
+++ b/src/entry/requests/transaction.ts
@@ -1,18 +1,17 @@
 /** One transaction of a caller. It begins at an upstream with its first statement and stays on that connection. */
-import { RequestError, toRequestError } from '../../core/errors/index.ts'
+import { describeThrown, toRequestError } from '../../core/errors/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import type { Organisation, Route, StatementAnswer } from '../ports/index.ts'
-import { verdictOf } from '../ports/index.ts'
-import { NOT_RUN_PAUSE_MS, READ_ATTEMPTS } from './consts.ts'
-import { seatAtPrimary } from './primary-access.ts'
-import { noteAnswer, noteLag, seatForRead, type ReadPlace } from './reads.ts'
+import { beginTransaction } from './begin-transaction.ts'
+import { endTransaction } from './end-transaction.ts'
+import type { ReadPlace } from './reads.ts'
+import { recordAnswer } from './record-answer.ts'
+import { mayRepeatStep, NOT_RUN_PAUSE_MS } from './retry-rules.ts'
 import type { TimedAnswer } from './run-statement.ts'
-import type { Begun, Seat, TransactionStep } from './seat.ts'
+import type { TransactionStep } from './statement-executor.ts'
+import { createTransactionPin, transactionLost } from './transaction-pin.ts'
 import type { DataWork, EntryContext, RequestScope } from './types.ts'
 
-/** Tries of a statement inside a transaction that the upstream did not run. */
-const STATEMENT_TRIES = 4
-
 /** Options of {@link createTransaction}. */
 interface TransactionOptions {
   context: EntryContext
@@ -22,7 +21,7 @@
   readOnly: boolean
   /** Where a transaction that only reads may run. */
   place: ReadPlace
-  /** Time for which it may rest, in milliseconds. */
+  /** Time for which it may be idle between two steps, in milliseconds. */
   idleMs: number
 }
 
@@ -65,173 +64,75 @@
  * @returns the transaction
  */
 export function createTransaction (options: TransactionOptions): CallerTransaction {
-  const { context, route, readOnly, place } = options
-  let at: Seat | undefined
-  let failedBecause: string | undefined
+  const { context, readOnly, place } = options
+  const pin = createTransactionPin(options.idleMs)
   let wrote = false
   let begun = false
-  let running = false
-  let restTimer: NodeJS.Timeout | undefined
-
-  const leave = (): Seat | undefined => {
-    clearTimeout(restTimer)
-    const left = at
-    at = undefined
-    return left
-  }
-  const rollBackNow = (): void => {
-    void leave()?.rollBack()
-  }
-  /** A statement in progress ends first: its connection takes one command at a time. */
-  const fail = (reason: string): void => {
-    failedBecause ??= reason
-    if (!running) {
-      rollBackNow()
-    }
-  }
-  const rest = (): void => {
-    clearTimeout(restTimer)
-    restTimer = setTimeout(() => fail(`it rested for more than ${options.idleMs} ms`), options.idleMs)
-  }
-  const lost = (reason: string): RequestError => new RequestError('not-run', 'TransactionLost', { reason })
-  const checkUsable = (): void => {
-    if (failedBecause !== undefined) {
-      throw lost(failedBecause)
-    }
-    if (at === undefined) {
-      return
-    }
-    const { brokenBecause } = at
-    if (brokenBecause !== undefined) {
-      fail(brokenBecause)
-      throw lost(brokenBecause)
-    }
-  }
 
-  /** Begins at an upstream and runs the first step; a begin that fails has kept nothing, so it is tried elsewhere. */
-  const begin = async (scope: RequestScope, step: TransactionStep): Promise<TimedAnswer> => {
-    const tried = new Set<string>()
-    for (;;) {
-      const seat = readOnly
-        ? await seatForRead(context, scope, place, tried)
-        : await seatAtPrimary(context, scope)
-      const name = seat.known.upstream
-      try {
-        const begun = await seat.begin(scope, readOnly, step)
-        noteAnswer(context, scope, begun.begin)
-        noteLag(seat, begun.begin.answer)
-        const { failure } = begun.begin.answer
-        if (failure === undefined) {
-          return takeBegun(seat, begun)
-        }
-        tried.add(name)
-        noteRepeated(scope, name, failure.kind)
-        if (scope.attempts >= READ_ATTEMPTS) {
-          throw new RequestError('not-run', 'NoUpstream', {
-            group: scope.group, reason: failure.kind, retryAfterMs: NOT_RUN_PAUSE_MS
-          })
-        }
-      } catch (thrown) {
-        if (thrown instanceof FirstStepLost) {
-          throw thrown.error
-        }
-        const error = toRequestError(thrown, 'not-run', true)
-        if (error.entry !== 'PeerUnavailable') {
-          tried.add(name)
-        }
-        const isFinal = error.entry === 'Overloaded' || (error.entry === 'NoUpstream' && seat.home === undefined)
-        if (isFinal || scope.deadline.passed || scope.attempts >= READ_ATTEMPTS) {
-          throw error
-        }
-        noteRepeated(scope, name, error.message)
-      }
-      await pause(NOT_RUN_PAUSE_MS)
-    }
-  }
-  const takeBegun = (seat: Seat, { first, lost: missing }: Begun): TimedAnswer => {
-    at = seat
+  const runFirst = async (scope: RequestScope, step: TransactionStep): Promise<TimedAnswer> => {
+    const { executor, begun: { first, lost } } = await beginTransaction(context, scope, { readOnly, place, step })
+    pin.pin(executor)
     begun = true
     if (first === undefined) {
-      throw new FirstStepLost(missing!)
+      throw toRequestError(lost, 'may-have-run')
     }
     return first
   }
-  const noteRepeated = ({ requestId: id, group, home }: RequestScope, upstream: string, reason: string): void =>
-    context.logger.log('info', 'transaction.begin-repeated', { id, group, upstream, home, reason })
-
-  const runPinned = async (scope: RequestScope, step: TransactionStep): Promise<StatementAnswer> => {
-    checkUsable()
-    clearTimeout(restTimer)
-    for (let tries = 1; ; tries++) {
-      running = true
-      const timed = await (at === undefined ? begin(scope, step) : at.step(scope, step))
-        .finally(() => { running = false })
-      noteAnswer(context, scope, timed)
-      const { failure, state } = timed.answer
-      const again = failure !== undefined && verdictOf(failure.kind) === 'not-run' && state === 'open'
-      if (!again || tries >= STATEMENT_TRIES || scope.deadline.passed) {
+  const runStep = async (scope: RequestScope, step: TransactionStep): Promise<StatementAnswer> => {
+    pin.ensureUsable()
+    pin.stopIdleTimer()
+    for (let attempts = 1; ; attempts++) {
+      const timed = await pin.whileRunning(
+        async () => await (pin.executor === undefined ? runFirst(scope, step) : pin.executor.step(scope, step)))
+      recordAnswer(context, scope, timed)
+      if (!mayRepeatStep(timed.answer, attempts, scope.deadline.passed)) {
         return timed.answer
       }
       await pause(NOT_RUN_PAUSE_MS)
-      checkUsable()
+      pin.ensureUsable()
+    }
+  }
+  const execute = async (scope: RequestScope, work: DataWork): Promise<StatementAnswer> => {
+    try {
+      wrote ||= work.access === 'write'
+      const answer = await runStep(scope, { type: 'work', work })
+      if (pin.failedBecause !== undefined) {
+        pin.rollBack()
+      } else if (answer.state === 'open') {
+        pin.startIdleTimer()
+      } else {
+        pin.fail(`the upstream ended it: ${answer.failure?.kind ?? 'unknown'}`)
+      }
+      return answer
+    } catch (thrown) {
+      // Without its commit nothing of a transaction is kept, whatever became of the statement.
+      pin.discard(describeThrown(thrown))
+      throw transactionLost(pin.failedBecause!)
+    }
+  }
+  const commit = async (scope: RequestScope, text: string): Promise<StatementAnswer> => {
+    const wasOpen = pin.executor !== undefined
+    try {
+      const answer = await runStep(scope, { type: 'commit', requestId: scope.requestId, text })
+      await endTransaction(pin.detach(), answer)
+      return answer
+    } catch (thrown) {
+      pin.detach()?.discard()
+      const mayBeKept = wasOpen && wrote
+      throw toRequestError(thrown, mayBeKept ? 'may-have-run' : 'not-run', !mayBeKept)
     }
   }
-
   return {
-    route,
+    route: options.route,
     organisation: options.organisation,
     get begun () { return begun },
-    get failed () { return failedBecause !== undefined },
-    get failedBecause () { return failedBecause },
+    get failed () { return pin.failedBecause !== undefined },
+    get failedBecause () { return pin.failedBecause },
     get wrote () { return wrote },
-    get upstream () { return at?.known.upstream },
-    execute: async (scope, work) => {
-      try {
-        wrote ||= work.access === 'write'
-        const answer = await runPinned(scope, { type: 'work', work })
-        if (failedBecause !== undefined) {
-          rollBackNow()
-        } else if (answer.state === 'open') {
-          rest()
-        } else {
-          fail(`the upstream ended it: ${answer.failure?.kind ?? 'unknown'}`)
-        }
-        return answer
-      } catch (thrown) {
-        // Without its commit nothing of a transaction is kept, whatever became of the statement.
-        leave()?.discard()
-        failedBecause ??= (thrown as Error).message
-        throw lost(failedBecause)
-      }
-    },
-    commit: async (scope, text) => {
-      const wasOpen = at !== undefined
-      try {
-        const answer = await runPinned(scope, { type: 'commit', requestId: scope.requestId, text })
-        const left = leave()
-        if (answer.failure === undefined && answer.state === 'idle') {
-          left?.release()
-        } else {
-          await left?.rollBack()
-        }
-        return answer
-      } catch (thrown) {
-        leave()?.discard()
-        const mayBeKept = wasOpen && wrote
-        throw toRequestError(thrown, mayBeKept ? 'may-have-run' : 'not-run', !mayBeKept)
-      }
-    },
-    rollBack: () => fail('it was rolled back'),
-    abort: fail
-  }
-}
-
-/** The transaction has begun, and its first step has no answer. */
-class FirstStepLost extends Error {
-  readonly error: RequestError
-
-  constructor (error: RequestError) {
-    super(error.message)
-    this.error = error
+    get upstream () { return pin.executor?.known.upstream },
+    execute,
+    commit,
+    rollBack: () => pin.fail('it was rolled back'),
+    abort: pin.fail
   }
 }
--- a/src/entry/requests/types.ts
+++ b/src/entry/requests/types.ts
@@ -30,7 +30,7 @@
 }
 
 /** Where the times and counts of serving callers go. */
-interface EntryMeasures {
+export interface EntryMeasures {
   /** Time of a caller's request, by type and outcome. */
   request: (label: string, durationMs: number) => void
   /** Time that a request waited for a connection, by outcome. */
@@ -74,7 +74,7 @@
   attempts: number
   /** Upstream that was tried last, for the log. */
   upstream?: string
-  /** Host to which it was passed on last, for the log. */
+  /** Host to which it was forwarded last, for the log. */
   home?: string
   /** Homes that have not served it. */
   triedHomes: Set<string>
