--- a/src/entry/requests/answers.ts
+++ b/src/entry/requests/answers.ts
@@ -2,7 +2,7 @@
 import { RequestError, toRequestError, type ErrorName } from '../../core/errors/index.ts'
 import type { FailureKind, StatementAnswer, TransactionState } from '../ports/index.ts'
 
-/** Answers that a statement is done that no upstream needs to run. */
+/** Answers a statement that succeeded without an upstream. */
 export function doneAnswer (state: TransactionState): StatementAnswer {
   return { rows: [], state }
 }
--- a/src/entry/requests/attempt.ts
+++ b/src/entry/requests/attempt.ts
@@ -19,7 +19,7 @@
  * @returns the outcome; never rejects
  */
 export async function attemptStatement (
-  context: EntryContext, scope: RequestScope, work: DataWork, executor: StatementExecutor
+  context: Pick<EntryContext, 'freshness' | 'costs'>, scope: RequestScope, work: DataWork, executor: StatementExecutor
 ): Promise<AttemptOutcome> {
   try {
     const timed = await executor.runSingle(scope, work, work.access === 'read')
--- a/src/entry/requests/begin-transaction.ts
+++ b/src/entry/requests/begin-transaction.ts
@@ -5,12 +5,15 @@
 import { RequestError, toRequestError } from '../../core/errors/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import { executorAtPrimary } from './primary-access.ts'
-import { executorForRead, type ReadPlace } from './reads.ts'
+import { executorForRead, type ReadContext, type ReadPlace } from './reads.ts'
 import { recordAnswer, recordLag } from './record-answer.ts'
 import { decideBegin, NOT_RUN_PAUSE_MS, retryReason, type RetryCause } from './retry-rules.ts'
 import type { Begun, StatementExecutor, TransactionStep } from './statement-executor.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
+/** What beginning a transaction needs from the rest of the process. */
+export type BeginContext = ReadContext & Pick<EntryContext, 'costs'>
+
 /** Which transaction is begun. */
 interface BeginOptions {
   readOnly: boolean
@@ -36,7 +39,7 @@
  * @throws RequestError; nothing was begun
  */
 export async function beginTransaction (
-  context: EntryContext, scope: RequestScope, options: BeginOptions
+  context: BeginContext, scope: RequestScope, options: BeginOptions
 ): Promise<BegunTransaction> {
   const tried = new Set<string>()
   for (;;) {
@@ -70,7 +73,7 @@
 type BeginOutcome = { begun: Begun } | { cause: RetryCause, error: RequestError }
 
 async function attemptBegin (
-  context: EntryContext, scope: RequestScope, executor: StatementExecutor, { readOnly, step }: BeginOptions
+  context: BeginContext, scope: RequestScope, executor: StatementExecutor, { readOnly, step }: BeginOptions
 ): Promise<BeginOutcome> {
   try {
     const begun = await executor.begin(scope, readOnly, step)
--- a/src/entry/requests/primary-access.ts
+++ b/src/entry/requests/primary-access.ts
@@ -1,46 +1,35 @@
 /**
- * The way to the primary of a group: through one of its homes, or directly while this host holds its lease.
- *
- * How long does a request wait for a primary? Inputs, in milliseconds: the time left of its deadline, and the time in
- * which leadership expects the next primary, 0 while no failover is expected. At 0 it waits for {@link WAIT_SHARE} of
- * its time. When the primary is expected within what is left less {@link ANSWER_RESERVE_MS}, it waits for all of that.
- * Otherwise it is refused at once, and told to come back after the expected time, {@link RETRY_AFTER_MS} at least.
+ * The way to the primary of a group: through one of its homes, or directly while this host holds its lease. How long a
+ * request waits for a primary is decided in `wait-rules.ts`.
  */
 import { describeThrown, RequestError } from '../../core/errors/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import type { KnownUpstream } from '../directory/index.ts'
-import { acquireConnection, WAIT_SHARE } from './acquire-connection.ts'
+import { acquireConnection } from './acquire-connection.ts'
 import { createForwardingExecutor } from './forwarding-executor.ts'
 import { createLocalExecutor, holdsLease, type LocalExecutor } from './local-executor.ts'
 import { NOT_RUN_PAUSE_MS } from './retry-rules.ts'
 import type { StatementExecutor } from './statement-executor.ts'
 import type { EntryContext, RequestScope } from './types.ts'
+import { failoverWaitMs, mayTakeWork, retryAfterMsOf, WAIT_SHARE } from './wait-rules.ts'
 
-/** Time after which callers are told to come back when there is no primary, in milliseconds: about one promotion. */
-export const RETRY_AFTER_MS = 300
-/**
- * Time of a request that is kept for the statement itself while it waits for a primary, in milliseconds: the longest
- * ordinary statement takes 170 ms, and few do.
- */
-const ANSWER_RESERVE_MS = 100
-/**
- * Time of `drainMs` that is kept back, so that what is under way still arrives before its end, in milliseconds. Chosen,
- * not measured.
- */
-const DRAIN_RESERVE_MS = 1500
+/** What the way to a primary needs from the rest of the process. */
+export type PrimaryContext = Pick<
+  EntryContext, 'leadership' | 'directory' | 'homes' | 'pools' | 'freshness' | 'measures' | 'drainMs'
+>
 
 /** Why there is no executor at a primary yet; it may help to try again soon. */
 type NotYet = { notYet: string }
 
 /**
- * Takes an executor at the primary, waiting for a primary for a part of the request's time.
+ * Returns an executor at the primary, waiting for a primary for a part of the request's time.
  *
  * @param context - the rest of the process
  * @param scope - the request
  * @returns the executor
  * @throws RequestError with verdict `not-run`
  */
-export async function executorAtPrimary (context: EntryContext, scope: RequestScope): Promise<StatementExecutor> {
+export async function executorAtPrimary (context: PrimaryContext, scope: RequestScope): Promise<StatementExecutor> {
   const { leadership, directory } = context
   const { group, deadline } = scope
   const greatestWait = performance.now() + deadline.leftMs * WAIT_SHARE
@@ -52,7 +41,7 @@
       break
     }
     const known = directory.get(primary.upstream)
-    const outcome = known === undefined || !mayTakeWork(known, context.drainMs)
+    const outcome = known === undefined || !mayTakeWork(known, context.drainMs, performance.now())
       ? { notYet: 'the primary is leaving' }
       : forwardingExecutorAtPrimary(context, scope, known, primary.epoch) ??
         await localExecutorAtPrimary(context, scope, known, until - performance.now())
@@ -65,25 +54,20 @@
     }
     await pause(NOT_RUN_PAUSE_MS)
   }
-  const retryAfterMs = Math.max(RETRY_AFTER_MS, Math.round(leadership.expectedMs(group)))
+  const retryAfterMs = retryAfterMsOf(leadership.expectedMs(group))
   throw new RequestError('not-run', 'NoUpstream', { group, reason, retryAfterMs })
 }
 
-/**
- * Says until when a request waits for a primary: for nearly all of its time when one is expected by then, and not at
- * all when none is.
- */
-function waitUntil ({ leadership }: EntryContext, { group, deadline }: RequestScope, otherwise: number): number {
+/** Until when a request waits for a primary, on the steady clock; `otherwise` while no failover is expected. */
+function waitUntil (
+  { leadership }: Pick<EntryContext, 'leadership'>, { group, deadline }: RequestScope, otherwise: number
+): number {
   const expectedMs = leadership.expectedMs(group)
-  if (expectedMs === 0) {
-    return otherwise
-  }
-  const leftMs = deadline.leftMs - ANSWER_RESERVE_MS
-  return performance.now() + (expectedMs > leftMs ? 0 : leftMs)
+  return expectedMs === 0 ? otherwise : performance.now() + failoverWaitMs(expectedMs, deadline.leftMs)
 }
 
 function forwardingExecutorAtPrimary (
-  context: EntryContext, scope: RequestScope, known: KnownUpstream, epoch: number
+  context: PrimaryContext, scope: RequestScope, known: KnownUpstream, epoch: number
 ): StatementExecutor | undefined {
   const home = context.homes.choose(known, scope.triedHomes, scope.organisation)
   if (home === undefined) {
@@ -104,7 +88,7 @@
  * @throws RequestError `Overloaded`: there is a primary, and it has more work than it can do
  */
 export async function localExecutorAtPrimary (
-  context: EntryContext, scope: RequestScope, known: KnownUpstream, waitMs: number
+  context: PrimaryContext, scope: RequestScope, known: KnownUpstream, waitMs: number
 ): Promise<LocalExecutor | NotYet> {
   const { leadership, pools } = context
   const until = performance.now() + waitMs
@@ -129,22 +113,10 @@
     turn.leave()
     return { notYet: 'the primary has changed' }
   } catch (thrown) {
-    // Waiting on at a primary with too much work makes everyone late.
+    // Waiting on at an overloaded primary makes every request there late.
     if (thrown instanceof RequestError && thrown.entry === 'Overloaded') {
       throw thrown
     }
     return { notYet: describeThrown(thrown) }
   }
 }
-
-/**
- * Says whether an upstream may still get new work.
- *
- * @param known - the upstream
- * @param drainMs - time after which a leaving upstream must get nothing new, in milliseconds
- * @returns whether it may
- */
-export function mayTakeWork ({ drainingSince, missingSince }: KnownUpstream, drainMs: number): boolean {
-  const leavingSince = Math.min(drainingSince ?? Infinity, missingSince ?? Infinity)
-  return performance.now() - leavingSince < drainMs - DRAIN_RESERVE_MS
-}
--- a/src/entry/requests/prove-position.ts
+++ b/src/entry/requests/prove-position.ts
@@ -1,10 +1,10 @@
 /**
- * Learns where the log of a group's primary ends, with a statement that takes none of its slots. After all hosts have
- * started at once nobody knows, and reads that would all go to the primary to find out keep it from doing its work.
+ * Asks a group's primary where its log ends, with a statement that takes none of its slots. After all hosts have
+ * started at once no host has a proof, and reads that all go to the primary for one would overload it.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import { Deadline } from '../../core/time/deadline.ts'
-import { localExecutorAtPrimary } from './primary-access.ts'
+import { localExecutorAtPrimary, type PrimaryContext } from './primary-access.ts'
 import { recordAnswer } from './record-answer.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
@@ -13,6 +13,9 @@
 /** Id under which it stands in the logs. */
 const PROOF_ID = 'proof-of-position'
 
+/** What the prover needs from the rest of the process. */
+type ProverContext = PrimaryContext & Pick<EntryContext, 'costs' | 'logger'>
+
 /** Asks primaries where their logs end; those who need the same at the same time share the question. */
 interface PositionProver {
   /**
@@ -29,7 +32,7 @@
  * @param context - the rest of the process
  * @returns the prover
  */
-export function createPositionProver (context: EntryContext): PositionProver {
+export function createPositionProver (context: ProverContext): PositionProver {
   const proving = new Map<string, Promise<void>>()
 
   const ask = async (group: string): Promise<void> => {
--- a/src/entry/requests/reads.ts
+++ b/src/entry/requests/reads.ts
@@ -10,16 +10,24 @@
 import { pause } from '../../core/time/deadline.ts'
 import type { Freshness, StatementAnswer } from '../ports/index.ts'
 import { formatPosition, type LogPosition } from '../../positions/position.ts'
-import { acquireConnection, WAIT_SHARE } from './acquire-connection.ts'
+import { acquireConnection } from './acquire-connection.ts'
 import { attemptStatement, failureCauseOf, finalAnswerOf } from './attempt.ts'
 import { chooseForRead } from './choose-upstream.ts'
 import { createForwardingExecutor } from './forwarding-executor.ts'
 import { createLocalExecutor } from './local-executor.ts'
-import { executorAtPrimary } from './primary-access.ts'
+import { executorAtPrimary, type PrimaryContext } from './primary-access.ts'
 import { recordLag } from './record-answer.ts'
 import { decideRead, retryLabel, retryReason, type RetryCause } from './retry-rules.ts'
 import type { StatementExecutor } from './statement-executor.ts'
 import type { DataWork, EntryContext, RequestScope } from './types.ts'
+import { WAIT_SHARE } from './wait-rules.ts'
+
+/** What a proof of freshness needs from the rest of the process. */
+type ProofContext = Pick<EntryContext, 'directory' | 'freshness' | 'homes' | 'leadership'>
+/** What the way of a read to an upstream needs. */
+export type ReadContext = PrimaryContext & Pick<EntryContext, 'failureDomain' | 'logger'>
+/** What a single read needs. */
+type SingleReadContext = ReadContext & Pick<EntryContext, 'budget' | 'costs' | 'limits'>
 
 /**
  * Where a read may run: at the primary only, or wherever the log has reached a position.
@@ -37,7 +45,7 @@
  * @returns the place
  */
 export async function placeRead (
-  context: EntryContext, group: string, freshness: Freshness, arrivedAt: number, sessionFloor?: LogPosition
+  context: ProofContext, group: string, freshness: Freshness, arrivedAt: number, sessionFloor?: LogPosition
 ): Promise<ReadPlace> {
   if (freshness.type === 'primary') {
     return { type: 'primary' }
@@ -52,7 +60,7 @@
 
 /** Asks for a proof: the homes of the primary can make one. */
 async function fetchFloor (
-  { directory, freshness, homes, leadership }: EntryContext, group: string, since: number, floor?: LogPosition
+  { directory, freshness, homes, leadership }: ProofContext, group: string, since: number, floor?: LogPosition
 ): Promise<LogPosition | undefined> {
   const primary = directory.get(leadership.primaryOf(group) ?? '')
   const found = await freshness.fetch(group, since, primary === undefined ? [] : homes.of(primary))
@@ -70,7 +78,7 @@
  * @throws RequestError with verdict `not-run`
  */
 export async function executorForRead (
-  context: EntryContext, scope: RequestScope, place: ReadPlace, tried: Set<string>
+  context: ReadContext, scope: RequestScope, place: ReadPlace, tried: Set<string>
 ): Promise<StatementExecutor> {
   if (place.type === 'primary') {
     return await executorAtPrimary(context, scope)
@@ -114,7 +122,7 @@
  * @throws RequestError
  */
 export async function serveRead (
-  context: EntryContext, scope: RequestScope, work: DataWork, place: ReadPlace
+  context: SingleReadContext, scope: RequestScope, work: DataWork, place: ReadPlace
 ): Promise<StatementAnswer & { upstream: string }> {
   const tried = new Set<string>()
   for (;;) {
@@ -151,7 +159,7 @@
 }
 
 function logRepeat (
-  { logger, measures }: EntryContext, { requestId, group, attempts, home }: RequestScope, upstream: string,
+  { logger, measures }: Pick<EntryContext, 'logger' | 'measures'>, { requestId, group, attempts, home }: RequestScope, upstream: string,
   cause: RetryCause, place: ReadPlace
 ): void {
   measures.retry(retryLabel(cause))
--- a/src/entry/requests/request-log.ts
+++ b/src/entry/requests/request-log.ts
@@ -23,7 +23,7 @@
  * @param durationMs - the time it took, in milliseconds
  */
 export function reportRequest (
-  { logger, measures }: EntryContext, database: string, { id, statement }: CallerRequest, answer: StatementAnswer,
+  { logger, measures }: Pick<EntryContext, 'logger' | 'measures'>, database: string, { id, statement }: CallerRequest, answer: StatementAnswer,
   { scope, upstream, floor }: RequestTrace, durationMs: number
 ): void {
   const { failure, signature, state, position } = answer
--- a/src/entry/requests/serve-forwarded.ts
+++ b/src/entry/requests/serve-forwarded.ts
@@ -9,16 +9,17 @@
 import type { Peers } from '../../peers/index.ts'
 import type { PeerLink } from '../../peers/types.ts'
 import type { Registry } from '../registry/index.ts'
-import { acquireConnection, WAIT_SHARE } from './acquire-connection.ts'
+import { acquireConnection } from './acquire-connection.ts'
 import { decodeStep, decodeWork } from './forwarded-steps.ts'
 import { createForwardedTransactions, type ForwardedTransactions } from './forwarded-transactions.ts'
 import { createLocalExecutor } from './local-executor.ts'
-import { localExecutorAtPrimary, mayTakeWork, RETRY_AFTER_MS } from './primary-access.ts'
+import { localExecutorAtPrimary, type PrimaryContext } from './primary-access.ts'
 import { recordAnswer } from './record-answer.ts'
 import { NOT_RUN_PAUSE_MS } from './retry-rules.ts'
 import type { TimedAnswer } from './run-statement.ts'
 import type { StatementExecutor } from './statement-executor.ts'
 import type { EntryContext, RequestScope } from './types.ts'
+import { mayTakeWork, RETRY_AFTER_MS, WAIT_SHARE } from './wait-rules.ts'
 
 /**
  * Time that a home waits for the version of the desired state by which a statement was forwarded, in milliseconds: one
@@ -28,7 +29,7 @@
 
 /** Options of {@link serveForwarded}. */
 interface ForwardedOptions {
-  context: EntryContext
+  context: PrimaryContext & Pick<EntryContext, 'costs' | 'logger'>
   peers: Pick<Peers, 'handle'>
   registry: Pick<Registry, 'current' | 'refresh'>
   desiredState: Pick<DesiredStateInForce, 'reach'>
@@ -137,10 +138,12 @@
   return executor === undefined ? { load: 0, leaving: server.isLeaving() } : reportOf(server, executor)
 }
 
-function scopeOf (context: EntryContext, question: HomeStatement): { known: KnownUpstream, scope: RequestScope } {
+function scopeOf (
+  context: Pick<EntryContext, 'directory' | 'drainMs'>, question: HomeStatement
+): { known: KnownUpstream, scope: RequestScope } {
   const { id, upstream, organisation, version, priority, costMs, leftMs, inTimeMs, values = [] } = question
   const known = context.directory.get(upstream)
-  if (known === undefined || !mayTakeWork(known, context.drainMs)) {
+  if (known === undefined || !mayTakeWork(known, context.drainMs, performance.now())) {
     throw new RequestError('not-run', 'NoUpstream', {
       group: known?.group ?? 'unknown', reason: `upstream ${upstream} is leaving`, retryAfterMs: NOT_RUN_PAUSE_MS
     })
--- a/src/entry/requests/session.ts
+++ b/src/entry/requests/session.ts
@@ -4,13 +4,13 @@
   CallerHandler, CallerLink, CallerRequest, CallerStatement, DesiredState, StatementAnswer
 } from '../ports/index.ts'
 import { doneAnswer, failureAnswer, failureOf } from './answers.ts'
-import { RETRY_AFTER_MS } from './primary-access.ts'
 import { reportRequest } from './request-log.ts'
 import { MAXIMUM_NAMES } from './session-names.ts'
 import { createSessionState, type SessionState } from './session-state.ts'
 import { createSessionTransaction, type SessionTransaction } from './session-transaction.ts'
 import { serveSingle } from './single-statement.ts'
 import type { DataWork, EntryContext } from './types.ts'
+import { RETRY_AFTER_MS } from './wait-rules.ts'
 
 /**
  * Time that a request waits for the first desired state of a process that has just started, in milliseconds: some reads
--- a/src/entry/requests/statement-costs.ts
+++ b/src/entry/requests/statement-costs.ts
@@ -1,17 +1,20 @@
-/** How long the statements of each database take at an upstream, as seen so far. */
+/**
+ * How long does a statement of a database take at an upstream? Input: times of earlier ones, in milliseconds. Rule:
+ * their running mean. It decides whose turn comes first at a busy upstream.
+ */
 
-/** Weight of a new time in the running mean. */
+/** Weight of a new time in the running mean. Chosen, not measured. */
 const SAMPLE_WEIGHT = 0.05
-/** Time that is expected while none was seen, in milliseconds. */
+/** Time that is expected while none was recorded, in milliseconds. Chosen, not measured. */
 const UNKNOWN_MS = 10
-/** Databases that are remembered; the one seen first is forgotten beyond that. */
+/** Databases that are remembered, so that memory stays bounded; the oldest is dropped. Chosen, not measured. */
 const REMEMBERED = 4096
 
 /** Expected times of statements. */
 export interface StatementCosts {
   /** Expected time of a statement of a database, in milliseconds. */
   of: (database: string) => number
-  /** Takes the time that a statement took at an upstream, in milliseconds. */
+  /** Records the time that a statement took at an upstream, in milliseconds. */
   record: (database: string, durationMs: number) => void
 }
 
--- a/src/entry/requests/transaction.ts
+++ b/src/entry/requests/transaction.ts
@@ -2,7 +2,7 @@
 import { describeThrown, toRequestError } from '../../core/errors/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import type { Organisation, Route, StatementAnswer } from '../ports/index.ts'
-import { beginTransaction } from './begin-transaction.ts'
+import { beginTransaction, type BeginContext } from './begin-transaction.ts'
 import { endTransaction } from './end-transaction.ts'
 import type { ReadPlace } from './reads.ts'
 import { recordAnswer } from './record-answer.ts'
@@ -10,11 +10,11 @@
 import type { TimedAnswer } from './run-statement.ts'
 import type { TransactionStep } from './statement-executor.ts'
 import { createTransactionPin, transactionLost } from './transaction-pin.ts'
-import type { DataWork, EntryContext, RequestScope } from './types.ts'
+import type { DataWork, RequestScope } from './types.ts'
 
 /** Options of {@link createTransaction}. */
 interface TransactionOptions {
-  context: EntryContext
+  context: BeginContext
   route: Route
   /** On whose behalf it runs. */
   organisation: Organisation
--- a/src/entry/requests/types.ts
+++ b/src/entry/requests/types.ts
@@ -62,7 +62,7 @@
   /** Version of the desired state by which it is served. */
   version: number
   priority: number
-  /** Database for which times are remembered; undefined for statements of other hosts, which remember them. */
+  /** Database whose statement times are recorded; undefined for statements of other hosts, which record them. */
   database?: string
   /** Time that a statement is expected to take at an upstream, in milliseconds. */
   costMs: number
@@ -70,7 +70,7 @@
   deadline: Deadline
   /** When an answer stops being in time for the caller's route, on the steady clock, in milliseconds. */
   inTimeUntil: number
-  /** Tries made, for the log. */
+  /** Attempts so far; they bound retries, and stand in the log. */
   attempts: number
   /** Upstream that was tried last, for the log. */
   upstream?: string
--- a/src/entry/requests/writes.ts
+++ b/src/entry/requests/writes.ts
@@ -2,7 +2,7 @@
 import { pause } from '../../core/time/deadline.ts'
 import type { StatementAnswer } from '../ports/index.ts'
 import { attemptStatement, failureCauseOf, finalAnswerOf } from './attempt.ts'
-import { executorAtPrimary } from './primary-access.ts'
+import { executorAtPrimary, type PrimaryContext } from './primary-access.ts'
 import { decideWrite, retryLabel, retryReason, type RetryCause } from './retry-rules.ts'
 import type { DataWork, EntryContext, RequestScope } from './types.ts'
 
@@ -16,7 +16,7 @@
  * @throws RequestError with the verdict on whether it may have run
  */
 export async function serveWrite (
-  context: EntryContext, scope: RequestScope, work: DataWork
+  context: PrimaryContext & Pick<EntryContext, 'costs' | 'logger'>, scope: RequestScope, work: DataWork
 ): Promise<StatementAnswer> {
   for (;;) {
     const executor = await executorAtPrimary(context, scope)
