--- /dev/null
+++ b/test/entry/requests/forwarded-transactions.test.ts
@@ -0,0 +1,102 @@
+import { deepEqual, equal, rejects } from 'node:assert/strict'
+import { describe, it } from 'node:test'
+import type { Logger } from '../../../src/core/logger/index.ts'
+import { pause } from '../../../src/core/time/deadline.ts'
+import type { StatementAnswer, TransactionState } from '../../../src/entry/ports/index.ts'
+import { createForwardedTransactions } from '../../../src/entry/requests/forwarded-transactions.ts'
+import type { StatementExecutor } from '../../../src/entry/requests/statement-executor.ts'
+import type { RequestScope } from '../../../src/entry/requests/types.ts'
+import type { PeerLink } from '../../../src/peers/types.ts'
+
+const SCOPE = { requestId: 'r' } as unknown as RequestScope
+
+function answer (state: TransactionState): StatementAnswer {
+  return { rows: [], state }
+}
+
+function setUp (idleMs = 1000) {
+  const calls: string[] = []
+  const reasons: unknown[] = []
+  const closeListeners: Array<() => void> = []
+  const state = { brokenBecause: undefined as string | undefined }
+  const executor = {
+    get brokenBecause () { return state.brokenBecause },
+    release: () => { calls.push('release') },
+    discard: () => { calls.push('discard') },
+    rollBack: async () => { calls.push('rollBack') }
+  } as unknown as StatementExecutor
+  const logger = {
+    log: (_level: string, _event: string, { reason }: { reason: string }) => { reasons.push(reason) }
+  } as unknown as Logger
+  const link = { onClose: (listener: () => void) => { closeListeners.push(listener) } } as unknown as PeerLink
+  const transactions = createForwardedTransactions({ logger, idleMs: () => idleMs })
+  const add = async (): Promise<number | undefined> => await transactions.add(executor, SCOPE, answer('open'), link)
+  return { transactions, executor, link, add, calls, reasons, closeListeners, state }
+}
+
+describe('transactions that are open for other hosts', () => {
+  it('stay open while their steps leave them open, and end with a commit', async () => {
+    const { transactions, add, calls } = setUp()
+    const number = await add()
+    equal(number, 1)
+    const claimed = await transactions.claim(1)
+    equal(await transactions.settle(1, claimed, answer('idle')), undefined)
+    deepEqual(calls, ['release'])
+    equal(transactions.size, 0)
+  })
+
+  it('are not kept when the first step has ended them', async () => {
+    const { transactions, executor, link, calls, closeListeners } = setUp()
+    equal(await transactions.add(executor, SCOPE, answer('failed'), link), undefined)
+    deepEqual(calls, ['rollBack'])
+    equal(closeListeners.length, 0)
+  })
+
+  it('run one step at a time, and are not ended during it', async () => {
+    const { transactions, add, calls } = setUp()
+    await add()
+    await transactions.claim(1)
+    await rejects(transactions.claim(1), /its home has ended it/)
+    await transactions.end(1, 'it was rolled back')
+    deepEqual(calls, [])
+    equal(transactions.size, 1)
+  })
+
+  it('end with the link to their host; a link has one listener for all', async () => {
+    const { transactions, add, calls, reasons, closeListeners } = setUp()
+    await add()
+    await add()
+    equal(closeListeners.length, 1)
+    closeListeners[0]!()
+    await pause(1)
+    deepEqual(calls, ['rollBack', 'rollBack'])
+    equal(reasons[0], 'the link to its host was lost')
+    equal(transactions.size, 0)
+  })
+
+  it('end when they are idle for too long', async () => {
+    const { transactions, add, reasons } = setUp(20)
+    await add()
+    await pause(40)
+    equal(transactions.size, 0)
+    deepEqual(reasons, ['it rested for too long'])
+  })
+
+  it('end when their connection cannot carry them', async () => {
+    const { transactions, add, calls, state } = setUp()
+    await add()
+    state.brokenBecause = 'the primary has changed'
+    await rejects(transactions.claim(1), /the primary has changed/)
+    deepEqual(calls, ['rollBack'])
+  })
+
+  it('are waited for while the host stops, and ended after that', async () => {
+    const { transactions, add, reasons } = setUp()
+    await add()
+    const startedAt = performance.now()
+    await transactions.drain(60)
+    equal(performance.now() - startedAt >= 60, true)
+    deepEqual(reasons, ['this host is stopping'])
+    equal(transactions.size, 0)
+  })
+})
