--- a/src/entry/desired-state/index.ts
+++ b/src/entry/desired-state/index.ts
@@ -1,4 +1,7 @@
-/** Plug-in `desiredState`: what the operator wants. Within the life of a process its version only rises. */
+/**
+ * Plug-in `desiredState`: what the operator wants. Which version is in force? The highest that this process has read:
+ * its version only rises, and a row that cannot be read changes nothing.
+ */
 import { describeThrown } from '../../core/errors/index.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
 import { createWaiters } from '../../core/time/waiters.ts'
@@ -47,7 +50,7 @@
     const waiters = createWaiters()
 
     /** Puts a newer state in force; returns whether there was one. */
-    const take = (rows: StoreRow[]): boolean => {
+    const apply = (rows: StoreRow[]): boolean => {
       const row = rows.find(({ key }) => key === port.key)
       if (row === undefined) {
         return false
@@ -76,8 +79,8 @@
       logger,
       news: context.use('tableNews'),
       relay: context.use('tableRelay'),
-      onRows: take,
-      onChanges: take,
+      onRows: apply,
+      onChanges: apply,
       onStoreLost: context.use('registry').onStoreLost,
       onReread: (listener) => { reread = listener }
     })
--- a/src/entry/directory/index.ts
+++ b/src/entry/directory/index.ts
@@ -1,4 +1,7 @@
-/** Plug-in `directory`: the upstreams that exist. */
+/**
+ * Plug-in `directory`: the upstreams that exist. Follows the directory's table and notifies listeners of each change;
+ * `upstream-directory.ts` decides what rows and missing rows mean.
+ */
 import { registerPlugin } from '../../core/kernel/index.ts'
 import type { StoreRow } from '../ports/index.ts'
 import { followTable, GATHER_MS } from '../registry/follow-table.ts'
@@ -17,8 +20,8 @@
   interface Services { directory: Directory }
 }
 
-/** Time between two looks for rows that have been missing for long, in milliseconds. */
-const EXPIRY_LOOK_MS = 500
+/** Time between two checks for rows that have been missing for long, in milliseconds. Chosen, not measured. */
+const EXPIRY_CHECK_MS = 500
 
 registerPlugin({
   name: 'directory',
@@ -37,7 +40,7 @@
       }
       return [entry]
     })
-    const tell = (changes: DirectoryChange[]): void => changes.forEach((change) => {
+    const notify = (changes: DirectoryChange[]): void => changes.forEach((change) => {
       const { upstream, group, draining, claimsPrimary } = change.upstream
       context.logger.log('info', 'directory.changed', { upstream, group, change: change.change, draining, claimsPrimary })
       listeners.forEach((listener) => listener(change))
@@ -51,21 +54,21 @@
       relay: context.use('tableRelay'),
       onRows: (rows) => {
         const changes = directory.replace(decode(rows))
-        tell(changes)
-        tell(directory.expire())
+        notify(changes)
+        notify(directory.expire())
         return changes.length > 0
       },
-      onChanges: (changed, removed) => tell(directory.update(decode(changed), removed)),
+      onChanges: (changed, removed) => notify(directory.update(decode(changed), removed)),
       onStoreLost: context.use('registry').onStoreLost,
       gatherMs: GATHER_MS,
       onReread: (listener) => { reread = listener }
     })
-    /** A missing row counts only after another look at the table. */
-    const look = setInterval(() => {
+    /** A missing row counts only once the table has been read again. */
+    const expiryCheck = setInterval(() => {
       if (directory.awaitsExpiry()) {
         reread()
       }
-    }, EXPIRY_LOOK_MS)
+    }, EXPIRY_CHECK_MS)
     return {
       service: {
         get: directory.get,
@@ -75,7 +78,7 @@
       },
       dump: () => ({ upstreams: directory.all() }),
       close: () => {
-        clearInterval(look)
+        clearInterval(expiryCheck)
         stop()
       }
     }
--- a/src/entry/directory/upstream-directory.ts
+++ b/src/entry/directory/upstream-directory.ts
@@ -1,4 +1,9 @@
-/** Which upstreams exist: rows of the store, and what to make of rows that are missing. */
+/**
+ * Which upstreams exist, and when does one count as gone? Inputs: rows of the store, whole or as changes, and for how
+ * long a row has been missing, in milliseconds. A missing row counts only after {@link MISSING_GRACE_MS} and another
+ * read of the table, since rows also lapse while the store is away. A row of a later birth replaces what was known of
+ * its name; one of an earlier birth is ignored.
+ */
 import type { DirectoryEntry } from '../ports/index.ts'
 
 /**
@@ -11,7 +16,7 @@
 export interface KnownUpstream extends DirectoryEntry {
   /** When this process first saw it draining, on the steady clock; undefined when it is not. */
   drainingSince?: number
-  /** When its row was first missing; undefined when it is there. */
+  /** When its row was first missing; undefined while there is one. */
   missingSince?: number
 }
 
@@ -23,16 +28,16 @@
 
 /** The upstreams that exist. */
 export interface UpstreamDirectory {
-  /** Takes the whole table, as read at once. */
+  /** Applies the whole table, as read at once. */
   replace: (entries: DirectoryEntry[]) => DirectoryChange[]
-  /** Takes changed rows and the keys of removed ones. */
+  /** Applies changed rows and the keys of removed ones. */
   update: (changed: DirectoryEntry[], removed: string[]) => DirectoryChange[]
   /**
    * Forgets upstreams whose rows have been missing for {@link MISSING_GRACE_MS}; called only with fresh knowledge of
    * the table.
    */
   expire: () => DirectoryChange[]
-  /** Whether a row has been missing for long enough to look once more whether it is gone. */
+  /** Whether a row has been missing for long enough to read the table again. */
   awaitsExpiry: () => boolean
   get: (upstream: string) => KnownUpstream | undefined
   ofGroup: (group: string) => KnownUpstream[]
@@ -47,7 +52,7 @@
 export function createUpstreamDirectory (): UpstreamDirectory {
   const known = new Map<string, KnownUpstream>()
 
-  const take = (entry: DirectoryEntry): DirectoryChange[] => {
+  const apply = (entry: DirectoryEntry): DirectoryChange[] => {
     const before = known.get(entry.upstream)
     const [bornAt, bornBefore] = [entry.bornAt ?? 0, before?.bornAt ?? 0]
     if (bornAt < bornBefore) {
@@ -71,7 +76,7 @@
     ]
     return changes.filter(([, happened]) => happened).map(([change]) => ({ upstream, change }))
   }
-  const miss = (name: string): DirectoryChange[] => {
+  const markMissing = (name: string): DirectoryChange[] => {
     const upstream = known.get(name)
     if (upstream === undefined || upstream.missingSince !== undefined) {
       return []
@@ -87,9 +92,9 @@
     replace: (entries) => {
       const present = new Set(entries.map(({ upstream }) => upstream))
       const absent = [...known.keys()].filter((name) => !present.has(name))
-      return [...entries.flatMap(take), ...absent.flatMap(miss)]
+      return [...entries.flatMap(apply), ...absent.flatMap(markMissing)]
     },
-    update: (changed, removed) => [...changed.flatMap(take), ...removed.flatMap(miss)],
+    update: (changed, removed) => [...changed.flatMap(apply), ...removed.flatMap(markMissing)],
     expire: () => {
       const gone = [...known.values()].filter(isOverdue)
       gone.forEach(({ upstream }) => known.delete(upstream))
--- a/src/entry/organisations/identify.ts
+++ b/src/entry/organisations/identify.ts
@@ -1,11 +1,13 @@
 /**
- * Says on behalf of which organisation a caller asks. Callers name a key; which organisation holds it stands in the
- * desired state, so that a key that is taken away or passed on binds with the next statement outside a transaction.
+ * On behalf of which organisation is a caller served? Inputs: the keys and organisations of the desired state, the
+ * route, and the digest of the caller's key. The organisation that holds the key; none where the route needs none;
+ * otherwise the caller is refused. Looked up for each statement outside a transaction, so that a key that is withdrawn
+ * or moved to another organisation takes effect with the next one.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { DesiredState, Organisation, Route } from '../ports/index.ts'
 
-/** Stands for callers of no organisation, on routes that ask for no key. */
+/** Organisation of callers without one, on routes that need no key. */
 const NO_ORGANISATION: Organisation = { name: '' }
 
 /**
--- a/src/entry/readiness/index.ts
+++ b/src/entry/readiness/index.ts
@@ -1,4 +1,8 @@
-/** Plug-in `readiness`: answers the balancer, and shows metrics and the state dump on a port of their own. */
+/**
+ * Plug-in `readiness`: answers the balancer, and shows metrics and the state dump on a port of their own.
+ *
+ * When is the process ready? Once it knows a desired state and an upstream, until it is told to stop.
+ */
 import { createServer, type Server } from 'node:http'
 import type { EntrySettings } from '../../core/config/entry-settings.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
@@ -31,6 +35,7 @@
       }
       registry.metrics().then(
         (text) => response.writeHead(OK, { 'Content-Type': registry.contentType }).end(text),
+        // A gauge that cannot be read fails the whole page; the next scrape shows whether it lasts.
         () => response.writeHead(UNAVAILABLE).end())
     })
     await Promise.all([
--- a/src/entry/requests/caller-route.ts
+++ b/src/entry/requests/caller-route.ts
@@ -1,4 +1,8 @@
-/** Where a caller's requests go by the desired state in force, and on whose behalf. */
+/**
+ * Where do a caller's requests go, and on whose behalf? Inputs: the desired state in force, the database and the digest
+ * of the key that the caller named. The route of the database, and the organisation that holds the key; a transaction
+ * keeps the route with which it began.
+ */
 import { RequestError } from '../../core/errors/index.ts'
 import { identify } from '../organisations/identify.ts'
 import type { CallerLink, DesiredState, Organisation, Route } from '../ports/index.ts'
@@ -28,8 +32,8 @@
 }
 
 /**
- * Says whether a caller's transaction may go on: by the route with which it began, as long as the caller's key is held
- * by the organisation on whose connection it runs. It may last for longer than a change of keys takes to bind.
+ * Reports whether a caller's transaction may go on: by the route with which it began, as long as the caller's key is
+ * held by the organisation on whose connection it runs. It may last for longer than a change of keys takes to arrive.
  *
  * @param state - the desired state in force
  * @param begun - route and organisation with which the transaction began
--- a/src/entry/requests/index.ts
+++ b/src/entry/requests/index.ts
@@ -1,4 +1,4 @@
-/** Plug-in `entry`: takes callers and serves their sessions. */
+/** Plug-in `entry`: accepts callers' connections, serves their sessions, and serves what other hosts forward. */
 import type { EntrySettings } from '../../core/config/entry-settings.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
 import { parseEndpoint } from '../../core/wire/dialer.ts'
--- a/src/entry/requests/retry-rules.ts
+++ b/src/entry/requests/retry-rules.ts
@@ -16,8 +16,8 @@
 /** Attempts of a statement inside a transaction that the upstream did not run. Chosen, not measured. */
 const STATEMENT_ATTEMPTS = 4
 /**
- * Pause before a statement is repeated that an upstream did not run, in milliseconds; also told to callers and hosts
- * that may come back at once. Chosen, not measured.
+ * Pause before a statement is repeated that an upstream did not run, in milliseconds; also given to callers and
+ * hosts that may come back at once. Chosen, not measured.
  */
 export const NOT_RUN_PAUSE_MS = 25
 
--- a/src/entry/requests/run-statement.ts
+++ b/src/entry/requests/run-statement.ts
@@ -1,4 +1,9 @@
-/** Runs one statement on a leased connection. */
+/**
+ * Runs one statement on a leased connection.
+ *
+ * When does an upstream count as silent? When it has answered nobody for {@link SILENCE_MS} since the statement was
+ * sent; the caller of this module is notified, and decides whether the statement is given up.
+ */
 import { RequestError, toRequestError } from '../../core/errors/index.ts'
 import type { Deadline } from '../../core/time/deadline.ts'
 import { alignValues, prepareOn, type ConnectionLease, type UsedUpstream } from '../pools/index.ts'
