--- a/src/entry/requests/forwarded-transactions.ts
+++ b/src/entry/requests/forwarded-transactions.ts
@@ -9,9 +9,9 @@
 import { pause } from '../../core/time/deadline.ts'
 import type { PeerLink } from '../../peers/types.ts'
 import type { StatementAnswer } from '../ports/index.ts'
-import { endTransaction } from './end-transaction.ts'
 import type { StatementExecutor } from './statement-executor.ts'
 import { STOP_POLL_MS } from './stop-sessions.ts'
+import { endTransaction, goesOn } from './transaction-steps.ts'
 import type { RequestScope } from './types.ts'
 
 /** A transaction that is open for another host. */
@@ -113,7 +113,7 @@
     number: number, transaction: ForwardedTransaction, answer: StatementAnswer
   ): Promise<number | undefined> => {
     transaction.running = false
-    if (answer.state === 'open') {
+    if (goesOn(answer)) {
       open.set(number, transaction)
       clearTimeout(transaction.idleTimer)
       transaction.idleTimer = setTimeout(() => { void end(number, 'it rested for too long') }, idleMs())
--- a/src/entry/requests/serve-forwarded.ts
+++ b/src/entry/requests/serve-forwarded.ts
@@ -18,6 +18,7 @@
 import { NOT_RUN_PAUSE_MS } from './retry-rules.ts'
 import type { TimedAnswer } from './run-statement.ts'
 import type { StatementExecutor } from './statement-executor.ts'
+import { runNextStep } from './transaction-steps.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 import { mayTakeWork, RETRY_AFTER_MS, WAIT_SHARE } from './wait-rules.ts'
 
@@ -120,8 +121,7 @@
   const { executor, scope } = transaction
   renew(scope, question)
   try {
-    const timed = await executor.step(scope, decodeStep(question.id, question.step))
-    recordAnswer(context, scope, timed)
+    const timed = await runNextStep(context, scope, executor, decodeStep(question.id, question.step))
     const kept = await transactions.settle(question.transaction, transaction, timed.answer)
     return { ...replyOf(server, executor, timed), transaction: kept }
   } catch (thrown) {
--- a/src/entry/requests/transaction.ts
+++ b/src/entry/requests/transaction.ts
@@ -3,13 +3,13 @@
 import { pause } from '../../core/time/deadline.ts'
 import type { Organisation, Route, StatementAnswer } from '../ports/index.ts'
 import { beginTransaction, type BeginContext } from './begin-transaction.ts'
-import { endTransaction } from './end-transaction.ts'
 import type { ReadPlace } from './reads.ts'
 import { recordAnswer } from './record-answer.ts'
 import { mayRepeatStep, NOT_RUN_PAUSE_MS } from './retry-rules.ts'
 import type { TimedAnswer } from './run-statement.ts'
 import type { TransactionStep } from './statement-executor.ts'
 import { createTransactionPin, transactionLost } from './transaction-pin.ts'
+import { endTransaction, goesOn, runNextStep } from './transaction-steps.ts'
 import type { DataWork, RequestScope } from './types.ts'
 
 /** Options of {@link createTransaction}. */
@@ -76,17 +76,19 @@
     if (first === undefined) {
       throw toRequestError(lost, 'may-have-run')
     }
+    recordAnswer(context, scope, first)
     return first
   }
   const runStep = async (scope: RequestScope, step: TransactionStep): Promise<StatementAnswer> => {
     pin.ensureUsable()
     pin.stopIdleTimer()
     for (let attempts = 1; ; attempts++) {
-      const timed = await pin.whileRunning(
-        async () => await (pin.executor === undefined ? runFirst(scope, step) : pin.executor.step(scope, step)))
-      recordAnswer(context, scope, timed)
-      if (!mayRepeatStep(timed.answer, attempts, scope.deadline.passed)) {
-        return timed.answer
+      const { executor } = pin
+      const { answer } = await pin.whileRunning(async () => executor === undefined
+        ? await runFirst(scope, step)
+        : await runNextStep(context, scope, executor, step))
+      if (!mayRepeatStep(answer, attempts, scope.deadline.passed)) {
+        return answer
       }
       await pause(NOT_RUN_PAUSE_MS)
       pin.ensureUsable()
@@ -98,7 +100,7 @@
       const answer = await runStep(scope, { type: 'work', work })
       if (pin.failedBecause !== undefined) {
         pin.rollBack()
-      } else if (answer.state === 'open') {
+      } else if (goesOn(answer)) {
         pin.startIdleTimer()
       } else {
         pin.fail(`the upstream ended it: ${answer.failure?.kind ?? 'unknown'}`)
