--- a/src/entry/requests/prove-position.ts
+++ b/src/entry/requests/prove-position.ts
@@ -1,11 +1,11 @@
 /**
- * Learns where the log of a group's primary ends, with a statement that takes none of its slots. After all hosts have
- * started at once nobody knows, and reads that would all go to the primary to find out keep it from doing its work.
+ * Asks a group's primary where its log ends, with a statement that takes none of its slots. After all hosts have
+ * started at once no host has a proof, and reads that all go to the primary for one would overload it.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import { Deadline } from '../../core/time/deadline.ts'
-import { seatHere } from './primary-access.ts'
-import { noteAnswer } from './reads.ts'
+import { localExecutorAtPrimary, type PrimaryContext } from './primary-access.ts'
+import { recordAnswer } from './record-answer.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
 /** Time that it may take, in milliseconds: two round trips, and opening a connection. */
@@ -13,6 +13,9 @@
 /** Id under which it stands in the logs. */
 const PROOF_ID = 'proof-of-position'
 
+/** What the prover needs from the rest of the process. */
+type ProverContext = PrimaryContext & Pick<EntryContext, 'costs' | 'logger'>
+
 /** Asks primaries where their logs end; those who need the same at the same time share the question. */
 interface PositionProver {
   /**
@@ -29,13 +32,13 @@
  * @param context - the rest of the process
  * @returns the prover
  */
-export function createPositionProver (context: EntryContext): PositionProver {
+export function createPositionProver (context: ProverContext): PositionProver {
   const proving = new Map<string, Promise<void>>()
 
   const ask = async (group: string): Promise<void> => {
     const { leadership, directory, homes, logger } = context
-    const right = leadership.of(group)
-    const known = right === undefined ? undefined : directory.get(right.upstream)
+    const primaryLease = leadership.of(group)
+    const known = primaryLease === undefined ? undefined : directory.get(primaryLease.upstream)
     // While a primary is lost, the question would only hold up the reads that wait for it.
     if (known === undefined || !homes.isHome(known) || leadership.expectedMs(group) > 0) {
       return
@@ -54,11 +57,11 @@
       triedHomes: new Set()
     }
     try {
-      const seat = await seatHere(context, scope, known, PROVE_MS)
-      if ('notYet' in seat) {
+      const executor = await localExecutorAtPrimary(context, scope, known, PROVE_MS)
+      if ('notYet' in executor) {
         return
       }
-      noteAnswer(context, scope, await seat.proveLead(scope))
+      recordAnswer(context, scope, await executor.proveLead(scope))
     } catch (thrown) {
       logger.log('info', 'freshness.not-proven', { group, upstream: known.upstream, reason: describeThrown(thrown) })
     }
--- a/src/entry/requests/types.ts
+++ b/src/entry/requests/types.ts
@@ -30,7 +30,7 @@
 }
 
 /** Where the times and counts of serving callers go. */
-interface EntryMeasures {
+export interface EntryMeasures {
   /** Time of a caller's request, by type and outcome. */
   request: (label: string, durationMs: number) => void
   /** Time that a request waited for a connection, by outcome. */
@@ -62,7 +62,7 @@
   /** Version of the desired state by which it is served. */
   version: number
   priority: number
-  /** Database for which times are remembered; undefined for statements of other hosts, which remember them. */
+  /** Database whose statement times are recorded; undefined for statements of other hosts, which record them. */
   database?: string
   /** Time that a statement is expected to take at an upstream, in milliseconds. */
   costMs: number
@@ -70,11 +70,11 @@
   deadline: Deadline
   /** When an answer stops being in time for the caller's route, on the steady clock, in milliseconds. */
   inTimeUntil: number
-  /** Tries made, for the log. */
+  /** Attempts so far; they bound retries, and stand in the log. */
   attempts: number
   /** Upstream that was tried last, for the log. */
   upstream?: string
-  /** Host to which it was passed on last, for the log. */
+  /** Host to which it was forwarded last, for the log. */
   home?: string
   /** Homes that have not served it. */
   triedHomes: Set<string>
