--- a/src/mysql-proxy/configuration/configuration-store.ts
+++ b/src/mysql-proxy/configuration/configuration-store.ts
@@ -1,4 +1,8 @@
-/** The configuration in the platform: one row for each group, a count of changes, and a record of each change. */
+/**
+ * The configuration in the platform: one row for each group, a count of changes, and a record of each change. Writes
+ * are conditional on the versions they were made from, so one of two concurrent changes of a group wins. A change is
+ * idempotent by its id: when the answer to a write is lost, the rows are read to see whether it was made.
+ */
 import { WorkswardError } from '../../core/errors/index.ts'
 import type { Group } from '../../core/config/index.ts'
 import {
@@ -8,10 +12,12 @@
   recordedChangeSchema, versionedGroupSchema, type Change, type Changes, type RecordedChange, type VersionedGroup
 } from './types.ts'
 
-/** A group to change, and the version the change was made from; 0 when there was none. */
+/** A change of one group. */
 export interface GroupChange {
   name: string
+  /** The new declarations; null removes the group. */
   group: Group | null
+  /** Version the change was made from; 0 when the group did not exist. */
   baseVersion: number
 }
 
@@ -26,7 +32,7 @@
    */
   changesSince: (revision: number) => Promise<Changes>
   /**
-   * Makes a change, or finds that it has been made already.
+   * Makes a change, or finds that it was made by an earlier attempt.
    *
    * @param groups - the groups to change
    * @param change - who, when and why
@@ -40,9 +46,12 @@
   snapshot: (name: string, version: number) => Promise<VersionedGroup | undefined>
 }
 
-/** Tries to settle a write whose answer was lost, or that lost the race for the count of changes. */
+/**
+ * Attempts of one change: it is repeated when an answer was lost, or when a change of another group raised the count of
+ * changes first. Chosen, not measured.
+ */
 const ATTEMPTS = 5
-/** Digits of a revision in a sort key. */
+/** Digits of a revision in a sort key, so that keys sort by number; part of the stored form. */
 const SORT_DIGITS = 12
 
 /**
@@ -70,21 +79,21 @@
     const versions = groups.map(({ name, group, baseVersion }): VersionedGroup => ({
       name, group, change, version: baseVersion + 1, revision: revision + 1
     }))
-    await keepSnapshots(objects, versions)
+    await writeSnapshots(objects, versions)
     const accepted = await table.write(buildRows(versions, change, revision))
     return accepted ? revision + 1 : undefined
   }
 
-  /** Looks whether the change stands, or another one stands in its way. */
+  /** Returns the revision of a change that was made already, and fails when another change won. */
   const findOutcome = async (groups: GroupChange[], change: Change): Promise<number | undefined> => {
     for (const { name, baseVersion } of groups) {
-      const standing = await readGroup(name)
-      if (standing?.change.changeId === change.changeId) {
-        return standing.revision
+      const current = await readGroup(name)
+      if (current?.change.changeId === change.changeId) {
+        return current.revision
       }
-      if ((standing?.version ?? 0) !== baseVersion) {
+      if ((current?.version ?? 0) !== baseVersion) {
         throw new WorkswardError('ConfigurationConflict', {
-          group: name, winner: standing?.change.changeId ?? 'unknown', version: standing?.version ?? 0
+          group: name, winner: current?.change.changeId ?? 'unknown', version: current?.version ?? 0
         })
       }
     }
@@ -156,8 +165,8 @@
   ]
 }
 
-/** Snapshots go first, so that every accepted version has one; those of changes that lost are never looked at. */
-async function keepSnapshots (objects: PlatformObjects, versions: VersionedGroup[]): Promise<void> {
+/** Snapshots are written first, so that every accepted version has one; those of changes that lost are never read. */
+async function writeSnapshots (objects: PlatformObjects, versions: VersionedGroup[]): Promise<void> {
   await Promise.all(versions.map(async (version) =>
     await objects.put(snapshotKey(version.name, version.version, version.change.changeId), JSON.stringify(version))))
 }
--- a/src/mysql-proxy/configuration/types.ts
+++ b/src/mysql-proxy/configuration/types.ts
@@ -1,4 +1,4 @@
-/** Configuration in force. */
+/** Stored and transferred forms of the configuration: versions of groups, changes, and the messages between peers. */
 import * as z from 'zod'
 import { groupSchema } from '../../core/config/index.ts'
 
