--- a/src/mysql-proxy/operators/acceptance.ts
+++ b/src/mysql-proxy/operators/acceptance.ts
@@ -1,4 +1,4 @@
-/** Brings operators' changes into force: checks the right, makes the change on record, and reads it back. */
+/** Brings operators' changes into force: checks the right, writes the change and its record, and reads it back. */
 import { randomUUID } from 'node:crypto'
 import type { Configuration } from '../configuration/index.ts'
 import type { GroupChange } from '../configuration/configuration-store.ts'
@@ -14,13 +14,13 @@
   version: number
 }
 
-/** Accepts changes. */
-interface Acceptance {
-  /** Makes changes; returns the new revision. */
+/** Accepts changes; each call fails with `NotAllowed` without the right to change. */
+export interface Acceptance {
+  /** Makes changes; returns the new revision. Fails with `ConfigurationConflict` when another change won. */
   accept: (groups: GroupChange[], operator: Operator, changeId: string, reason: string) => Promise<number>
-  /** Returns a group as the platform has it now. */
+  /** Returns a group as the platform has it; fails with `UnknownGroup`. */
   currentGroup: (name: string) => Promise<CurrentGroup>
-  /** Changes one group as it is now; returns a row that describes the change. */
+  /** Changes one group; returns a row that describes the change. */
   changeGroup: (
     name: string, operator: Operator, reason: string, change: (group: Group) => Group
   ) => Promise<TableRow[]>
@@ -46,7 +46,7 @@
   const currentGroup = async (name: string): Promise<CurrentGroup> => {
     await configuration.refresh()
     const found = configuration.versions().find((version) => version.name === name)
-    if (found?.group === null || found === undefined) {
+    if (found === undefined || found.group === null) {
       throw new WorkswardError('UnknownGroup', { group: name })
     }
     return { group: found.group, version: found.version }
--- a/src/mysql-proxy/operators/authentication.ts
+++ b/src/mysql-proxy/operators/authentication.ts
@@ -1,4 +1,7 @@
-/** Who an operator is, by the key presented. */
+/**
+ * Which operator a request comes from, by the key presented, and what that operator may do. Settings hold SHA-256
+ * digests of keys; they are compared in constant time.
+ */
 import { createHash, timingSafeEqual } from 'node:crypto'
 import type { OPERATOR_RIGHTS, OperatorSettings } from '../../core/config/index.ts'
 import { WorkswardError } from '../../core/errors/index.ts'
--- a/src/mysql-proxy/operators/change.ts
+++ b/src/mysql-proxy/operators/change.ts
@@ -1,4 +1,4 @@
-/** Changes of the declarations: what differs, and single values by their path. */
+/** Changes of the declarations, as pure functions: what differs, and single values by their path. */
 import { groupSchema, type Declarations, type Group } from '../../core/config/index.ts'
 import { WorkswardError } from '../../core/errors/index.ts'
 import type { GroupChange } from '../configuration/configuration-store.ts'
@@ -51,7 +51,7 @@
  *
  * @param group - the group
  * @param path - path of the value below the group
- * @param value - the new value; undefined brings the default back
+ * @param value - the new value; undefined restores the default
  * @returns the changed group
  * @throws WorkswardError `InvalidCommand` when there is no such value, or it cannot be that
  */
--- a/src/mysql-proxy/operators/index.ts
+++ b/src/mysql-proxy/operators/index.ts
@@ -1,4 +1,7 @@
-/** Plug-in `operators`: an HTTP endpoint for readiness, liveness, metrics, dumps and what other plug-ins add. */
+/**
+ * Plug-in `operators`: an HTTP endpoint for readiness, liveness, metrics, dumps and the paths that other plug-ins add.
+ * The paths it owns are public; the others need an operator's key with the right to read.
+ */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import type { MemberSettings } from '../../core/config/index.ts'
@@ -7,7 +10,7 @@
 import { authenticateOperator, type Operator } from './authentication.ts'
 
 /** A request of an operator. */
-interface OperatorRequest {
+export interface OperatorRequest {
   operator: Operator
   /** Parsed JSON body; undefined when there was none. */
   body: unknown
@@ -35,7 +38,7 @@
   body: string
 }
 
-/** Greatest body of a request, in bytes. */
+/** Greatest body of a request, in bytes; chosen, not measured. */
 const MAXIMUM_BODY_BYTES = 4_000_000
 const JSON_TYPE = 'application/json'
 
@@ -93,7 +96,7 @@
   }
 })
 
-/** Memory and processor time; where the process allows it, garbage is collected first. */
+/** Memory and processor time. Garbage is collected first where the process exposes that, so that sizes compare. */
 function describeProcess (): unknown {
   globalThis.gc?.()
   return { uptimeSeconds: process.uptime(), memory: process.memoryUsage(), processor: process.cpuUsage() }
@@ -119,6 +122,7 @@
   }
 }
 
+/** HTTP status by entry of the error catalogue; 500 for all others. */
 const STATUS_BY_ERROR: Record<string, number> = {
   NotAllowed: 403, InvalidCommand: 400, InvalidSettings: 400, ConfigurationConflict: 409, PlatformUnavailable: 503
 }
--- a/src/mysql-proxy/operators/tables.ts
+++ b/src/mysql-proxy/operators/tables.ts
@@ -1,4 +1,4 @@
-/** The tables that operators can show, and how rows are chosen and ordered. */
+/** The tables that operators can show, and how rows are selected and ordered. */
 import type { Configuration } from '../configuration/index.ts'
 import type { VersionedGroup } from '../configuration/types.ts'
 import type { Callers } from '../callers/index.ts'
@@ -19,6 +19,7 @@
   callers: Callers
 }
 
+/** Changes that the table `history` shows, the latest ones; chosen, not measured. */
 const HISTORY_LENGTH = 200
 
 /** Reads each table. */
@@ -109,10 +110,10 @@
 }
 
 /**
- * Chooses, orders and cuts rows.
+ * Selects, orders and limits rows.
  *
  * @param rows - the rows
- * @param command - what is wanted
+ * @param command - conditions, order and limit
  * @returns the rows to show
  * @throws WorkswardError `InvalidCommand` for an unknown column
  */
@@ -120,13 +121,13 @@
   const columns = Object.keys(rows[0] ?? {})
   const used = [...command.conditions.map(({ column }) => column), ...(command.orderBy ? [command.orderBy.column] : [])]
   used.forEach((column) => checkColumn(column, columns, command.table))
-  const chosen = rows.filter((row) => command.conditions.every((condition) => holds(row, condition)))
+  const selected = rows.filter((row) => command.conditions.every((condition) => holds(row, condition)))
   const { orderBy } = command
   if (orderBy !== undefined) {
     const sign = orderBy.descending ? -1 : 1
-    chosen.sort((left, right) => sign * compareValues(left[orderBy.column]!, right[orderBy.column]!))
+    selected.sort((left, right) => sign * compareValues(left[orderBy.column]!, right[orderBy.column]!))
   }
-  return chosen.slice(0, command.limit ?? chosen.length)
+  return selected.slice(0, command.limit ?? selected.length)
 }
 
 const COMPARERS: Record<Condition['comparison'], (order: number) => boolean> = {
