--- a/src/mysql-proxy/membership/heartbeats.ts
+++ b/src/mysql-proxy/membership/heartbeats.ts
@@ -1,16 +1,18 @@
-/** Rounds of heartbeats to a few members at a time, and suspicion of those that do not answer. */
+/**
+ * Rounds of heartbeats to a few members at a time. A heartbeat and its answer carry recent changes, a digest of the
+ * whole list, and the configuration revision of the sender. Whole lists are exchanged only when digests differ.
+ */
 import type { Endpoint } from '../../core/wire/dialer.ts'
 import type { Peers } from '../../peers/index.ts'
 import type { MemberList } from './member-list.ts'
 import type { Opinions } from './opinions.ts'
+import { HEARTBEAT_TIMEOUT_MS } from './silence-rule.ts'
+import { createSuspicion } from './suspicion.ts'
 import { heartbeatSchema, memberSchema, type Heartbeat, type Member } from './types.ts'
 
-/** Members asked in each round. */
+/** Members asked in each round; chosen, not measured. */
 const FANOUT = 2
-const HEARTBEAT_TIMEOUT_MS = 400
-/** Time for which a member that failed a request is tried last, in milliseconds. */
-const AVOID_MS = 500
-/** Rounds after which whole lists are exchanged with a member whose digest differs. */
+/** Rounds after which whole lists are exchanged with a member whose digest differs; chosen, not measured. */
 const EXCHANGE_EVERY = 4
 
 /** Options of {@link createHeartbeats}. */
@@ -18,11 +20,11 @@
   peers: Peers
   list: MemberList
   opinions: Opinions
-  /** Peers to ask while nobody is known. */
+  /** Peers to ask while no member is known. */
   seeds: Endpoint[]
   /** Configuration revision of this process. */
   revision: () => number
-  /** Told when a member has a newer configuration. */
+  /** Called when a member has a newer configuration. */
   onNewerRevision: (peer: Endpoint, revision: number) => void
 }
 
@@ -31,16 +33,16 @@
   /** Sends one round. */
   round: () => Promise<void>
   /** Sends a heartbeat to one member; it is suspected when it does not answer. */
-  beatMember: (member: Member) => Promise<void>
-  /** Tries to reach a member for somebody who cannot; returns whether it answered. */
+  sendOrSuspect: (member: Member) => Promise<void>
+  /** Tries to reach a member for another process that cannot; returns whether it answered. */
   tryMember: (member: Member) => Promise<boolean>
-  /** Takes a heartbeat and returns the one that answers it. */
+  /** Processes a heartbeat and returns the one that answers it. */
   answer: (heartbeat: Heartbeat) => Heartbeat
-  /** Takes note that a member did not answer a request, and tries whether it answers at all. */
+  /** Records that a member did not answer a request, and tries whether it answers at all. */
   reportFailure: (member: Member) => void
   /** Whether a member answered when last tried. */
   answers: (host: string) => boolean
-  /** Configuration revision of each member, as last heard. */
+  /** Configuration revision of each member, as last received. */
   revisions: Map<string, number>
 }
 
@@ -52,25 +54,23 @@
  */
 export function createHeartbeats (options: HeartbeatsOptions): Heartbeats {
   const { peers, list, opinions, seeds } = options
-  const avoidedUntil = new Map<string, number>()
+  const suspicion = createSuspicion({ peers, list, opinions })
   const revisions = new Map<string, number>()
-  let turn = 0
-
-  const others = (): Member[] => list.all().filter((member) => member.host !== opinions.self.host)
+  let rounds = 0
 
   const describe = (): Heartbeat => {
     list.expire()
-    return { members: opinions.takeNews(), digest: list.digest(), revision: options.revision() }
+    return { members: opinions.takeChanges(), digest: list.digest(), revision: options.revision() }
   }
 
-  const hear = ({ members, revision }: Heartbeat): void => {
-    members.forEach(opinions.hear)
+  const receive = ({ members, revision }: Heartbeat): void => {
+    members.forEach(opinions.receive)
     const [sender] = members
     if (sender === undefined) {
       return
     }
     revisions.set(sender.host, revision)
-    avoidedUntil.delete(sender.host)
+    suspicion.recordAnswer(sender.host)
     if (revision > options.revision()) {
       options.onNewerRevision(sender, revision)
     }
@@ -78,87 +78,67 @@
 
   const exchangeLists = async (endpoint: Endpoint): Promise<void> => {
     const theirs = await peers.request(endpoint, 'members', list.all(), HEARTBEAT_TIMEOUT_MS)
-    memberSchema.array().parse(theirs).forEach(opinions.hear)
+    memberSchema.array().parse(theirs).forEach(opinions.receive)
   }
 
-  const beat = async (endpoint: Endpoint): Promise<void> => {
+  const send = async (endpoint: Endpoint): Promise<void> => {
     const answer = await peers.request(endpoint, 'heartbeat', describe(), HEARTBEAT_TIMEOUT_MS)
     const heartbeat = heartbeatSchema.parse(answer)
-    hear(heartbeat)
-    if (heartbeat.digest !== list.digest() && turn % EXCHANGE_EVERY === 0) {
+    receive(heartbeat)
+    if (heartbeat.digest !== list.digest() && rounds % EXCHANGE_EVERY === 0) {
       await exchangeLists(endpoint)
     }
   }
 
-  /** Asks another member to try before suspecting; a broken link of our own is not a failure of the other. */
-  const suspect = async (member: Member): Promise<void> => {
-    avoidedUntil.set(member.host, performance.now() + AVOID_MS)
-    const helper = others().find((other) => other.state === 'live' && other.host !== member.host)
-    const confirmed = helper === undefined || !await answersTo(peers, helper, member)
-    const current = list.get(member.host)
-    if (!confirmed || current === undefined) {
-      return
-    }
-    const next = STATE_WHEN_SILENT[current.state]
-    if (next !== undefined) {
-      opinions.hear({ ...current, state: next })
-    }
-  }
-
-  const beatMember = async (member: Member): Promise<void> => {
+  const sendOrSuspect = async (member: Member): Promise<void> => {
     try {
-      await beat(member)
+      await send(member)
     } catch {
-      await suspect(member)
+      // The reason does not matter to the suspicion; a change of state is logged as `member.state`.
+      await suspicion.suspect(member)
     }
   }
 
-  const askStrangers = async (known: Member[]): Promise<void> => {
-    const strangers = seeds.filter((seed) => !known.some((member) => isAt(member, seed)))
-    await Promise.allSettled(strangers.map(exchangeLists))
-  }
-
   return {
     revisions,
-    beatMember,
+    sendOrSuspect,
     reportFailure: (member) => {
-      avoidedUntil.set(member.host, performance.now() + AVOID_MS)
-      void beatMember(member)
+      suspicion.recordFailure(member.host)
+      void sendOrSuspect(member)
     },
-    tryMember: async (member) => await beat(member).then(() => true, () => false),
-    answers: (host) =>
-      (avoidedUntil.get(host) ?? 0) < performance.now() && list.get(host)?.state !== 'suspect',
+    tryMember: async (member) => await send(member).then(() => true, () => false),
+    answers: suspicion.answers,
     answer: (heartbeat) => {
-      hear(heartbeat)
+      receive(heartbeat)
       return describe()
     },
     round: async () => {
-      turn++
-      const reachable = others().filter((member) => member.state !== 'gone')
-      const first = turn * FANOUT
-      const chosen = Array.from({ length: Math.min(FANOUT, reachable.length) },
-        (_value, index) => reachable[(first + index) % reachable.length]!)
-      await Promise.allSettled(chosen.map(beatMember))
-      if (reachable.length === 0 || turn % EXCHANGE_EVERY === 0) {
-        await askStrangers([opinions.self, ...reachable])
+      rounds++
+      const { self } = opinions
+      const members = list.all().filter(({ host, state }) => host !== self.host && state !== 'gone')
+      await Promise.allSettled(chooseMembers(members, rounds).map(sendOrSuspect))
+      if (members.length === 0 || rounds % EXCHANGE_EVERY === 0) {
+        await Promise.allSettled(withoutMembers(seeds, [self, ...members]).map(exchangeLists))
       }
     }
   }
 }
 
-/** What becomes of a member that does not answer; one that leaves need not be waited for. */
-const STATE_WHEN_SILENT: Record<Member['state'], Member['state'] | undefined> = {
-  live: 'suspect', suspect: undefined, leaving: 'gone', gone: undefined
-}
-
-async function answersTo (peers: Peers, helper: Member, member: Member): Promise<boolean> {
-  try {
-    return await peers.request(helper, 'try-member', member, HEARTBEAT_TIMEOUT_MS * 2) === true
-  } catch {
-    return false
-  }
+/**
+ * Chooses the members that get a heartbeat in a round. Each gets one in turn.
+ *
+ * @param members - members that are not gone, without this process
+ * @param round - number of the round
+ * @returns {@link FANOUT} of them, or all when there are fewer
+ */
+export function chooseMembers (members: Member[], round: number): Member[] {
+  const first = round * FANOUT
+  return Array.from({ length: Math.min(FANOUT, members.length) },
+    (_value, index) => members[(first + index) % members.length]!)
 }
 
-function isAt (member: Member, endpoint: Endpoint): boolean {
-  return member.address === endpoint.address && member.port === endpoint.port
+/** Returns the seeds at which no member listens that is known. */
+function withoutMembers (seeds: Endpoint[], members: Member[]): Endpoint[] {
+  return seeds.filter((seed) =>
+    !members.some((member) => member.address === seed.address && member.port === seed.port))
 }
--- a/src/mysql-proxy/membership/index.ts
+++ b/src/mysql-proxy/membership/index.ts
@@ -1,4 +1,4 @@
-/** Plug-in `membership`: who is there. */
+/** Plug-in `membership`: which processes are alive, by heartbeats and by the platform's list of hosts. */
 import type { MemberSettings } from '../../core/config/index.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
 import { repeat } from '../../core/time/repeat.ts'
@@ -18,17 +18,22 @@
   known: () => Member[]
   /** Whether a member answered when last tried. */
   answers: (host: string) => boolean
-  /** Takes note that a member did not answer a request. */
+  /** Records that a member did not answer a request, and sends it a heartbeat. */
   reportFailure: (host: string) => void
-  /** Says to everybody that this process leaves. */
+  /** Announces to all members that this process leaves. */
   leave: () => Promise<void>
-  /** Says to everybody that this process is back in work. */
+  /** Announces with the next heartbeats that this process is back in work. */
   rejoin: () => void
   /** Calls back whenever the list has changed. */
   onChange: (listener: () => void) => void
-  /** Says which configuration revision this process has, and learns of newer ones. */
+  /**
+   * Shares configuration revisions with heartbeats.
+   *
+   * @param own - returns the revision of this process
+   * @param onNewer - called when a member has a newer one
+   */
   shareRevision: (own: () => number, onNewer: (peer: Endpoint, revision: number) => void) => void
-  /** Configuration revision of each member, as last heard. */
+  /** Configuration revision of each member, as last received. */
   revisions: () => Map<string, number>
 }
 
@@ -69,7 +74,7 @@
 
     peers.handle('heartbeat', async (body) => heartbeats.answer(heartbeatSchema.parse(body)))
     peers.handle('members', async (body) => {
-      memberSchema.array().parse(body).forEach(opinions.hear)
+      memberSchema.array().parse(body).forEach(opinions.receive)
       return list.all()
     })
     peers.handle('try-member', async (body) => await heartbeats.tryMember(memberSchema.parse(body)))
@@ -92,7 +97,7 @@
         leave: async () => {
           opinions.changeSelf('leaving')
           const live = list.all().filter((member) => member.state === 'live')
-          await Promise.allSettled(live.map(heartbeats.beatMember))
+          await Promise.allSettled(live.map(heartbeats.sendOrSuspect))
         },
         rejoin: () => opinions.changeSelf('live'),
         onChange: (listener) => listeners.push(listener),
--- a/src/mysql-proxy/membership/member-list.ts
+++ b/src/mysql-proxy/membership/member-list.ts
@@ -4,8 +4,11 @@
 
 const { h64ToString } = await xxhash()
 
-/** Time for which a process that is gone is remembered, so that old word does not bring it back, in milliseconds. */
-const REMEMBER_GONE_MS = 600_000
+/**
+ * Time for which a process that is gone stays listed, in milliseconds, so that an old opinion does not make it live
+ * again; chosen, not measured.
+ */
+const KEEP_GONE_MS = 600_000
 
 /** A member and when its state was last changed here. */
 interface ListedMember {
@@ -19,7 +22,7 @@
    * Merges an opinion of a process.
    *
    * @param member - the opinion
-   * @returns whether it was news
+   * @returns whether it changed the list
    */
   merge: (member: Member) => boolean
   get: (host: string) => Member | undefined
@@ -27,7 +30,7 @@
   all: () => Member[]
   /** Digest of the list; equal lists have equal digests. */
   digest: () => string
-  /** Forgets processes that have been gone for long. */
+  /** Removes processes that have been gone for long. */
   expire: () => void
 }
 
@@ -58,7 +61,7 @@
     },
     expire: () => {
       for (const [host, { member, changedAt }] of members) {
-        if (member.state === 'gone' && performance.now() - changedAt > REMEMBER_GONE_MS) {
+        if (member.state === 'gone' && performance.now() - changedAt > KEEP_GONE_MS) {
           members.delete(host)
           digest = undefined
         }
--- a/src/mysql-proxy/membership/opinions.ts
+++ b/src/mysql-proxy/membership/opinions.ts
@@ -1,47 +1,50 @@
-/** Takes in what is said of processes, and stands up for this one. */
+/**
+ * Opinions of this process on all members, itself included: it merges those that it receives, refutes suspicions of
+ * itself, passes changes on with heartbeats, and declares suspects gone that have not refuted in time.
+ */
 import type { Logger } from '../../core/logger/index.ts'
 import type { MemberList } from './member-list.ts'
+import { isUnrefuted, REFUTATION_MS } from './silence-rule.ts'
 import type { Heartbeat, Member } from './types.ts'
 
-/** Time a suspect has to refute before it is taken for gone, in milliseconds. */
-const SUSPICION_MS = 1000
-/** Changes passed on with a heartbeat. */
-const PASSED_ON = 16
-/** Rounds for which a change is passed on. */
-const PASSED_ON_ROUNDS = 6
+/** Greatest number of changes that one heartbeat carries; chosen, not measured. */
+const CHANGES_IN_HEARTBEAT = 16
+/** Heartbeats after which a change is no longer carried; chosen, not measured. */
+const HEARTBEATS_WITH_CHANGE = 6
 
 /** Options of {@link createOpinions}. */
 interface OpinionsOptions {
   self: Member
   list: MemberList
   logger: Logger
-  /** Told of every change of the list. */
+  /** Called after every change of the list. */
   onChange: () => void
-  /** Told of members that do not answer any more, so that nothing waits for them. */
+  /** Called with members that became suspect or gone, so that no request waits for them. */
   onSilent: (member: Member) => void
 }
 
-/** What this process thinks of all others, and of itself. */
+/** The opinions of one process. */
 export interface Opinions {
   readonly self: Member
-  /** Takes an opinion. */
-  hear: (member: Member) => void
-  /** Changes what this process says of itself. */
+  /** Merges an opinion. */
+  receive: (member: Member) => void
+  /** Changes the state of this process. */
   changeSelf: (state: Member['state']) => void
-  /** Members whose news is to be passed on with the next heartbeat, this process first. */
-  takeNews: () => Heartbeat['members']
+  /** Returns the members that the next heartbeat carries: this process, then those that changed lately. */
+  takeChanges: () => Heartbeat['members']
   close: () => void
 }
 
 /**
  * Creates the opinions of a process that starts.
  *
- * @param options - the process, the list, and who is told
+ * @param options - the process, the list, and who is notified
  * @returns the opinions
  */
 export function createOpinions (options: OpinionsOptions): Opinions {
   const { list, logger, onChange, onSilent } = options
-  const news = new Map<string, number>()
+  /** Heartbeats that still carry the change of a member, by host. */
+  const heartbeatsLeft = new Map<string, number>()
   const timers = new Set<NodeJS.Timeout>()
   let self = options.self
   list.merge(self)
@@ -49,12 +52,12 @@
   const replaceSelf = (change: Pick<Member, 'version' | 'state'>): void => {
     self = { ...self, ...change }
     list.merge(self)
-    news.set(self.host, PASSED_ON_ROUNDS)
+    heartbeatsLeft.set(self.host, HEARTBEATS_WITH_CHANGE)
     onChange()
   }
 
-  /** A suspicion is refuted; word that this process leaves is taken from whoever brings it. */
-  const hearOfSelf = (opinion: Member): void => {
+  /** Refutes a suspicion; that this process leaves is accepted from any source, since operators may have set it. */
+  const receiveOfSelf = (opinion: Member): void => {
     const isOld = opinion.startedAt !== self.startedAt || opinion.version < self.version
     if (isOld || opinion.state === self.state) {
       return
@@ -67,23 +70,23 @@
     const timer = setTimeout(() => {
       timers.delete(timer)
       const current = list.get(suspect.host)
-      if (current?.state === 'suspect' && current.version === suspect.version) {
-        hear({ ...current, state: 'gone' })
+      if (isUnrefuted(suspect, current)) {
+        receive({ ...current, state: 'gone' })
       }
-    }, SUSPICION_MS)
+    }, REFUTATION_MS)
     timers.add(timer)
   }
 
-  const hear = (member: Member): void => {
+  const receive = (member: Member): void => {
     if (member.host === self.host) {
-      hearOfSelf(member)
+      receiveOfSelf(member)
       return
     }
     const before = list.get(member.host)?.state
     if (!list.merge(member)) {
       return
     }
-    news.set(member.host, PASSED_ON_ROUNDS)
+    heartbeatsLeft.set(member.host, HEARTBEATS_WITH_CHANGE)
     if (before !== member.state) {
       logger.log('info', 'member.state', { peer: member.host, state: member.state, before })
     }
@@ -98,18 +101,18 @@
 
   return {
     get self () { return self },
-    hear,
+    receive,
     changeSelf: (state) => replaceSelf({ version: self.version + 1, state }),
-    takeNews: () => {
-      const passedOn: Member[] = []
-      for (const [host, rounds] of news) {
+    takeChanges: () => {
+      const changed: Member[] = []
+      for (const [host, left] of heartbeatsLeft) {
         const member = host === self.host ? undefined : list.get(host)
-        if (member !== undefined && passedOn.length < PASSED_ON) {
-          passedOn.push(member)
+        if (member !== undefined && changed.length < CHANGES_IN_HEARTBEAT) {
+          changed.push(member)
         }
-        rounds > 1 ? news.set(host, rounds - 1) : news.delete(host)
+        left > 1 ? heartbeatsLeft.set(host, left - 1) : heartbeatsLeft.delete(host)
       }
-      return [self, ...passedOn]
+      return [self, ...changed]
     },
     close: () => timers.forEach((timer) => clearTimeout(timer))
   }
--- a/src/mysql-proxy/membership/platform-list.ts
+++ b/src/mysql-proxy/membership/platform-list.ts
@@ -1,14 +1,14 @@
-/** The platform's list of hosts. It lags, so it only introduces hosts and says who leaves. */
+/** The platform's list of hosts. It lags, so it only adds unknown hosts and marks those that leave. */
 import { hostRowSchema, LOWEST_SORT, PARTITIONS, type PlatformTable } from '../storage/types.ts'
 import type { MemberList } from './member-list.ts'
 import type { Opinions } from './opinions.ts'
 
 /**
- * Reads the list and takes over what is new.
+ * Reads the list and merges it.
  *
  * @param table - the platform's table
  * @param list - the members known
- * @param opinions - what is thought of them
+ * @param opinions - merges what the list adds
  */
 export async function readPlatformList (table: PlatformTable, list: MemberList, opinions: Opinions): Promise<void> {
   const rows = await table.list(PARTITIONS.hosts, LOWEST_SORT)
@@ -16,9 +16,9 @@
     const host = hostRowSchema.parse(JSON.parse(row.body))
     const known = list.get(host.host)
     if (known === undefined) {
-      opinions.hear({ ...host, startedAt: 0, version: 0 })
+      opinions.receive({ ...host, startedAt: 0, version: 0 })
     } else if (host.state === 'leaving' && known.state === 'live') {
-      opinions.hear({ ...known, state: 'leaving' })
+      opinions.receive({ ...known, state: 'leaving' })
     }
   }
 }
--- a/src/mysql-proxy/membership/types.ts
+++ b/src/mysql-proxy/membership/types.ts
@@ -1,4 +1,4 @@
-/** What processes tell each other about who is there. */
+/** Messages of the membership: members and heartbeats. */
 import * as z from 'zod'
 
 /** States of a member, each overriding the ones before it in the same version. */
