--- a/src/mysql-proxy/membership/heartbeats.ts
+++ b/src/mysql-proxy/membership/heartbeats.ts
@@ -64,7 +64,7 @@
   }
 
   const receive = ({ members, revision }: Heartbeat): void => {
-    members.forEach(opinions.receive)
+    members.forEach(opinions.hear)
     const [sender] = members
     if (sender === undefined) {
       return
@@ -78,7 +78,7 @@
 
   const exchangeLists = async (endpoint: Endpoint): Promise<void> => {
     const theirs = await peers.request(endpoint, 'members', list.all(), HEARTBEAT_TIMEOUT_MS)
-    memberSchema.array().parse(theirs).forEach(opinions.receive)
+    memberSchema.array().parse(theirs).forEach(opinions.hear)
   }
 
   const send = async (endpoint: Endpoint): Promise<void> => {
--- a/src/mysql-proxy/membership/index.ts
+++ b/src/mysql-proxy/membership/index.ts
@@ -74,7 +74,7 @@
 
     peers.handle('heartbeat', async (body) => heartbeats.answer(heartbeatSchema.parse(body)))
     peers.handle('members', async (body) => {
-      memberSchema.array().parse(body).forEach(opinions.receive)
+      memberSchema.array().parse(body).forEach(opinions.hear)
       return list.all()
     })
     peers.handle('try-member', async (body) => await heartbeats.tryMember(memberSchema.parse(body)))
--- a/src/mysql-proxy/membership/opinions.ts
+++ b/src/mysql-proxy/membership/opinions.ts
@@ -27,7 +27,7 @@
 export interface Opinions {
   readonly self: Member
   /** Merges an opinion. */
-  receive: (member: Member) => void
+  hear: (member: Member) => void
   /** Changes the state of this process. */
   changeSelf: (state: Member['state']) => void
   /** Returns the members that the next heartbeat carries: this process, then those that changed lately. */
@@ -57,7 +57,7 @@
   }
 
   /** Refutes a suspicion; that this process leaves is accepted from any source, since operators may have set it. */
-  const receiveOfSelf = (opinion: Member): void => {
+  const hearOfSelf = (opinion: Member): void => {
     const isOld = opinion.startedAt !== self.startedAt || opinion.version < self.version
     if (isOld || opinion.state === self.state) {
       return
@@ -71,15 +71,15 @@
       timers.delete(timer)
       const current = list.get(suspect.host)
       if (isUnrefuted(suspect, current)) {
-        receive({ ...current, state: 'gone' })
+        hear({ ...current, state: 'gone' })
       }
     }, REFUTATION_MS)
     timers.add(timer)
   }
 
-  const receive = (member: Member): void => {
+  const hear = (member: Member): void => {
     if (member.host === self.host) {
-      receiveOfSelf(member)
+      hearOfSelf(member)
       return
     }
     const before = list.get(member.host)?.state
@@ -101,7 +101,7 @@
 
   return {
     get self () { return self },
-    receive,
+    hear,
     changeSelf: (state) => replaceSelf({ version: self.version + 1, state }),
     takeChanges: () => {
       const changed: Member[] = []
--- a/src/mysql-proxy/membership/platform-list.ts
+++ b/src/mysql-proxy/membership/platform-list.ts
@@ -16,9 +16,9 @@
     const host = hostRowSchema.parse(JSON.parse(row.body))
     const known = list.get(host.host)
     if (known === undefined) {
-      opinions.receive({ ...host, startedAt: 0, version: 0 })
+      opinions.hear({ ...host, startedAt: 0, version: 0 })
     } else if (host.state === 'leaving' && known.state === 'live') {
-      opinions.receive({ ...known, state: 'leaving' })
+      opinions.hear({ ...known, state: 'leaving' })
     }
   }
 }
--- a/src/mysql-proxy/membership/suspicion.ts
+++ b/src/mysql-proxy/membership/suspicion.ts
@@ -58,7 +58,7 @@
       const current = list.get(member.host)
       const next = current === undefined ? undefined : stateWhenSilent(current.state)
       if (current !== undefined && next !== undefined) {
-        opinions.receive({ ...current, state: next })
+        opinions.hear({ ...current, state: next })
       }
     }
   }
