--- a/bench/naive/naive-proxy.ts
+++ b/bench/naive/naive-proxy.ts
@@ -5,7 +5,8 @@
 import { openClient, type Client, type UpstreamAccess } from '../../src/mysql/client.ts'
 import { createDialer } from '../../src/core/wire/dialer.ts'
 import { doubleSha1 } from '../../src/mysql/password.ts'
-import { listenMysql, type ListeningServer } from '../../src/mysql/server.ts'
+import type { SocketListener } from '../../src/core/wire/listener.ts'
+import { listenMysql } from '../../src/mysql/server.ts'
 import { textColumn } from '../../src/mysql/answer-writer.ts'
 import type { Answer, Statement } from '../../src/mysql/types.ts'
 import { describeThrown } from '../../src/core/errors/index.ts'
@@ -35,7 +36,7 @@
  * @param options - upstreams and habits
  * @returns the listening server
  */
-export async function startNaiveProxy (options: NaiveOptions): Promise<ListeningServer> {
+export async function startNaiveProxy (options: NaiveOptions): Promise<SocketListener> {
   const { retryOnError = true, shareConnection = false, claimNotRun = false } = options
   const dialer = createDialer()
   const open = async (access: UpstreamAccess): Promise<Client> =>
--- a/bench/naive/run-naive.ts
+++ b/bench/naive/run-naive.ts
@@ -2,7 +2,7 @@
 import { EMBEDDED_ACCOUNT, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../../src/emulation/embedded/sizes.ts'
 import type { Deployment } from '../../src/emulation/embedded/deployment.ts'
 import { runExperiment, type ExperimentOptions, type ExperimentResult } from '../../src/emulation/load/experiment.ts'
-import type { ListeningServer } from '../../src/mysql/server.ts'
+import type { SocketListener } from '../../src/core/wire/listener.ts'
 import { startNaiveProxy, type NaiveOptions } from './naive-proxy.ts'
 
 const GROUP = 'member-a'
@@ -17,7 +17,7 @@
 export async function runNaive (
   options: ExperimentOptions, habits: Partial<NaiveOptions> = {}
 ): Promise<ExperimentResult> {
-  const servers: ListeningServer[] = []
+  const servers: SocketListener[] = []
   const targetOf = async (deployment: Deployment) => {
     const upstreams = [...deployment.standins.groups.get(GROUP)!]
     const access = upstreams.map(([name, { port }]) =>
--- /dev/null
+++ b/src/core/wire/listener.ts
@@ -0,0 +1,49 @@
+/** Listens for TCP connections and owns the sockets that are open. */
+import { createServer, type Socket } from 'node:net'
+import type { Endpoint } from './dialer.ts'
+
+/** A listening server. */
+export interface SocketListener {
+  /** Port it is bound to. */
+  port: number
+  /** Sockets that are open. */
+  readonly connections: number
+  /** Stops accepting connections; those open stay. */
+  stopAccepting: () => void
+  /** Destroys all sockets and stops listening. */
+  close: () => Promise<void>
+}
+
+/**
+ * Starts listening.
+ *
+ * @param endpoint - where to listen; port 0 takes any free one
+ * @param serve - serves an accepted socket
+ * @returns the listening server
+ * @throws the error of the operating system when the port cannot be bound
+ */
+export async function listenForSockets (
+  { address, port }: Endpoint, serve: (socket: Socket) => void
+): Promise<SocketListener> {
+  const sockets = new Set<Socket>()
+  const server = createServer({ noDelay: true }, (socket) => {
+    sockets.add(socket)
+    socket.once('close', () => sockets.delete(socket))
+    serve(socket)
+  })
+  await new Promise<void>((resolve, reject) => {
+    server.once('error', reject)
+    server.listen(port, address, resolve)
+  })
+  const bound = server.address()
+  return {
+    port: typeof bound === 'object' && bound !== null ? bound.port : port,
+    get connections () { return sockets.size },
+    stopAccepting: () => { server.close() },
+    close: async () => {
+      const closed = new Promise<void>((resolve) => server.close(() => resolve()))
+      sockets.forEach((socket) => socket.destroy())
+      await closed
+    }
+  }
+}
--- a/src/emulation/standin/upstream-server.ts
+++ b/src/emulation/standin/upstream-server.ts
@@ -3,7 +3,9 @@
 import PQueue from 'p-queue'
 import { describeThrown } from '../../core/errors/index.ts'
 import { doubleSha1 } from '../../mysql/password.ts'
-import { listenMysql, type ListeningServer, type Refusal } from '../../mysql/server.ts'
+import type { SocketListener } from '../../core/wire/listener.ts'
+import type { Refusal } from '../../mysql/client-handler.ts'
+import { listenMysql } from '../../mysql/server.ts'
 import { MYSQL_ERROR } from '../../mysql/consts.ts'
 import { createUpstreamSession, type SessionFaults } from './upstream-session.ts'
 import type { Upstream } from './upstream.ts'
@@ -53,7 +55,7 @@
   const faults: SessionFaults = { loseAnswers: new Map() }
   const counts = { open: 0, refused: 0 }
   let port = options.port
-  let server: ListeningServer | undefined
+  let server: SocketListener | undefined
 
   const listen = async (): Promise<void> => {
     server = await listenMysql({
--- a/src/emulation/standin/upstream-session.ts
+++ b/src/emulation/standin/upstream-session.ts
@@ -3,7 +3,7 @@
 import type PQueue from 'p-queue'
 import { tokenizeStatement } from '../../mysql/statement-lexer.ts'
 import { EMPTY_ANSWER, type Answer, type Statement } from '../../mysql/types.ts'
-import type { ClientHandler } from '../../mysql/server.ts'
+import type { ClientHandler } from '../../mysql/client-handler.ts'
 import { PROCEDURES, type ProcedureName } from '../../mysql-proxy/upstreams/procedures.ts'
 import { firstWord, isReadStatement } from './database.ts'
 import {
--- /dev/null
+++ b/src/mysql/serve-client.ts
@@ -0,0 +1,91 @@
+/** Serves one client from its handshake to the end of its connection. */
+import { greetClient } from './authentication.ts'
+import type { ServeOptions } from './client-handler.ts'
+import { createCommandQueue } from './command-queue.ts'
+import { runCommand, type AnswerWriter, type ClientState, type ReceivedCommand } from './commands.ts'
+import { COMMAND } from './consts.ts'
+import { createPreparedStatements } from './prepared-statements.ts'
+import type { ReceivedPacket, ServerConnection } from './server-connection.ts'
+
+/**
+ * Serves a client. Its handler is created with its first command, after it has authenticated itself.
+ *
+ * @param connection - the client's connection
+ * @param connectionId - id of the connection on this server
+ * @param options - how clients are served
+ */
+export function serveClient (connection: ServerConnection, connectionId: number, options: ServeOptions): void {
+  const credentials = { user: '', database: '' }
+  let state: ClientState | undefined
+
+  connection.on('error', () => connection.stream.destroy())
+  connection.stream.once('close', () => state?.handler.close())
+
+  const openState = async (): Promise<ClientState> => {
+    const handler = await options.serve({
+      connectionId,
+      user: credentials.user,
+      database: credentials.database,
+      attributes: connection.clientHelloReply?.connectAttributes ?? {},
+      remoteAddress: connection.stream.remoteAddress ?? '',
+      end: queue.finishWhenIdle,
+      destroy: () => connection.stream.destroy()
+    })
+    if (connection.stream.destroyed) {
+      handler.close()
+    }
+    return { connection, handler, statements: createPreparedStatements(), statementBytes: options.statementBytes }
+  }
+
+  const queue = createCommandQueue<ReceivedCommand>(async (command) =>
+    await answer(connection, options, command.code, async () => {
+      state ??= await openState()
+      return await runCommand(state, command)
+    }), () => connection.stream.end())
+
+  connection.on('packet', (packet: ReceivedPacket, _known: boolean, code: number) => {
+    packet.readInt8()
+    queue.add({ code, packet })
+  })
+  silenceBuiltInHandlers(connection)
+  greetClient({
+    connection,
+    connectionId,
+    options,
+    onRequest: ({ user, database }) => Object.assign(credentials, { user, database })
+  })
+}
+
+/** Every command is taken from the `packet` event; these listeners only keep mysql2 from answering itself. */
+function silenceBuiltInHandlers (connection: ServerConnection): void {
+  for (const event of ['query', 'stmt_prepare', 'stmt_execute', 'init_db', 'ping', 'field_list']) {
+    connection.on(event, () => {})
+  }
+  connection.on('quit', () => connection.stream.end())
+}
+
+/** Runs one command and writes its answer in one piece. */
+async function answer (
+  connection: ServerConnection,
+  options: ServeOptions,
+  code: number,
+  run: () => Promise<AnswerWriter>
+): Promise<void> {
+  if (code === COMMAND.quit) {
+    return
+  }
+  let write: AnswerWriter
+  try {
+    write = await run()
+  } catch (thrown) {
+    write = () => connection.writeError(options.toRefusal(thrown))
+  }
+  if (write === undefined || connection.stream.destroyed) {
+    return
+  }
+  connection.stream.cork()
+  connection.sequenceId = 1
+  write()
+  connection.sequenceId = 0
+  connection.stream.uncork()
+}
--- a/src/peers/peer-server.ts
+++ b/src/peers/peer-server.ts
@@ -1,8 +1,9 @@
 /** The answering side of peer links. */
-import { createServer, type Server, type Socket } from 'node:net'
+import type { Socket } from 'node:net'
 import { toRequestError } from '../core/errors/index.ts'
 import type { Logger } from '../core/logger/index.ts'
 import { attachFrames, type FrameStream } from '../core/wire/frames.ts'
+import { listenForSockets } from '../core/wire/listener.ts'
 import { createNonce, proveKey, sameProof } from './authentication.ts'
 import { helloSchema, requestFrameSchema, type PeerHandler, type PeerLink, type ReplyFrame } from './types.ts'
 
@@ -36,27 +37,13 @@
  * @returns the server
  */
 export async function listenForPeers (options: PeerServerOptions): Promise<PeerServer> {
-  const sockets = new Set<Socket>()
   const progress = { count: 0 }
-  const server: Server = createServer({ noDelay: true }, (socket) => {
-    sockets.add(socket)
-    socket.once('close', () => sockets.delete(socket))
-    serveLink(socket, options, progress)
-  })
-  await new Promise<void>((resolve, reject) => {
-    server.once('error', reject)
-    server.listen(options.port, options.address, resolve)
-  })
-  const bound = server.address()
+  const listener = await listenForSockets(options, (socket) => serveLink(socket, options, progress))
   return {
-    port: typeof bound === 'object' && bound !== null ? bound.port : options.port,
+    port: listener.port,
     get inProgress () { return progress.count },
-    get links () { return sockets.size },
-    close: async () => {
-      const closed = new Promise<void>((resolve) => server.close(() => resolve()))
-      sockets.forEach((socket) => socket.destroy())
-      await closed
-    }
+    get links () { return listener.connections },
+    close: listener.close
   }
 }
 
