--- a/src/mysql-proxy/language/mistake.ts
+++ b/src/mysql-proxy/language/mistake.ts
@@ -1,17 +1,17 @@
-/** The message for a wrong command: it points at the spot and suggests the nearest word. */
+/** The error for a wrong command: it points at the position and suggests the nearest word. */
 import { WorkswardError } from '../../core/errors/index.ts'
 
-/** Most changes of letters at which a word still counts as near. */
-const NEAR = 3
+/** Greatest edit distance, in letters, at which a word is suggested; chosen, not measured. */
+const GREATEST_DISTANCE = 3
 
 /**
  * Builds the error.
  *
  * @param command - the whole command
- * @param offset - where the mistake is
+ * @param offset - position of the mistake, in characters
  * @param reason - what is wrong
- * @param found - the word that stands there
- * @param expected - words that could stand there
+ * @param found - the word at that position
+ * @param expected - words that are valid there
  * @returns the error
  */
 export function mistakeAt (
@@ -36,7 +36,7 @@
   const [best] = candidates
     .map((candidate) => ({ candidate, distance: editDistance(word.toLowerCase(), candidate.toLowerCase()) }))
     .sort((left, right) => left.distance - right.distance)
-  return best !== undefined && word !== '' && best.distance <= NEAR ? best.candidate : undefined
+  return best !== undefined && word !== '' && best.distance <= GREATEST_DISTANCE ? best.candidate : undefined
 }
 
 function editDistance (left: string, right: string): number {
--- a/src/mysql-proxy/language/parser.ts
+++ b/src/mysql-proxy/language/parser.ts
@@ -1,4 +1,4 @@
-/** The grammar of the operators' language. */
+/** The grammar of the operators' language, and which words its errors and its completion suggest. */
 import { EmbeddedActionsParser, type IToken } from 'chevrotain'
 import { Comparison, Dot, Equals, Keyword, Name, NumberLiteral, Text, TOKENS, commandLexer } from './lexer.ts'
 import { mistakeAt } from './mistake.ts'
@@ -129,7 +129,7 @@
  *
  * @param text - what the operator wrote
  * @returns the command
- * @throws WorkswardError `InvalidCommand`, pointing at the spot
+ * @throws WorkswardError `InvalidCommand`, which points at the mistake
  */
 export function parseCommand (text: string): Command {
   const { tokens, errors } = commandLexer.tokenize(text)
--- a/src/mysql-proxy/language/types.ts
+++ b/src/mysql-proxy/language/types.ts
@@ -1,4 +1,4 @@
-/** What an operator can say. */
+/** The commands of the operators' language. */
 
 /** Tables that can be shown. */
 export const TABLE_NAMES = [
@@ -36,7 +36,7 @@
   reason?: string
 }
 
-/** Brings a declared value back to its default. */
+/** Restores the default of a declared value. */
 export interface UnsetCommand {
   type: 'unset'
   path: string[]
@@ -50,14 +50,14 @@
   name: string
 }
 
-/** Makes another primary. */
+/** Makes another upstream the primary; the keeper chooses when none is named. */
 export interface PromoteCommand {
   type: 'promote'
   group: string
   upstream?: string
 }
 
-/** Says which upstream a request would get. */
+/** Shows which upstream a request would be sent to. */
 export interface ExplainCommand {
   type: 'explain'
   group: string
@@ -65,12 +65,12 @@
   kind?: string
 }
 
-/** Shows rows again and again, as they change. */
+/** Shows rows repeatedly, as they change; the client repeats the query. */
 interface WatchCommand {
   type: 'watch'
   show: ShowCommand
 }
 
-/** Anything an operator can say. */
+/** Any command. */
 export type Command =
   | ShowCommand | SetCommand | UnsetCommand | DrainCommand | PromoteCommand | ExplainCommand | WatchCommand
--- a/src/mysql-proxy/storage/index.ts
+++ b/src/mysql-proxy/storage/index.ts
@@ -61,8 +61,12 @@
   }
 }
 
+/** Greatest number of connections to one service; chosen, not measured. */
+const MAXIMUM_SOCKETS = 4
+
+/** Opens connections through the dialer of the process, as all others. */
 function createAgent (dialer: Dialer): Agent {
-  const agent = new Agent({ keepAlive: true, maxSockets: 4 })
+  const agent = new Agent({ keepAlive: true, maxSockets: MAXIMUM_SOCKETS })
   agent.createConnection = (options) => dialer({
     address: String((options as { host?: string }).host), port: Number((options as { port?: number }).port)
   })
--- a/src/mysql-proxy/storage/object-client.ts
+++ b/src/mysql-proxy/storage/object-client.ts
@@ -1,6 +1,6 @@
 /** The object store through the S3 client. */
 import { GetObjectCommand, ListObjectsV2Command, PutObjectCommand, type S3Client } from '@aws-sdk/client-s3'
-import { describeThrown, WorkswardError } from '../../core/errors/index.ts'
+import { callPlatform } from './call-platform.ts'
 import type { PlatformObjects } from './types.ts'
 
 /**
@@ -13,9 +13,9 @@
 export function createPlatformObjects (client: S3Client, bucket: string): PlatformObjects {
   return {
     put: async (key, text) => {
-      await call('PutObject', async () => await client.send(new PutObjectCommand({ Bucket: bucket, Key: key, Body: text })))
+      await callPlatform('PutObject', async () => await client.send(new PutObjectCommand({ Bucket: bucket, Key: key, Body: text })))
     },
-    get: async (key) => await call('GetObject', async () => {
+    get: async (key) => await callPlatform('GetObject', async () => {
       try {
         const { Body } = await client.send(new GetObjectCommand({ Bucket: bucket, Key: key }))
         return await Body?.transformToString()
@@ -28,16 +28,8 @@
     }),
     list: async (prefix) => {
       const command = new ListObjectsV2Command({ Bucket: bucket, Prefix: prefix })
-      const { Contents = [] } = await call('ListObjectsV2', async () => await client.send(command))
+      const { Contents = [] } = await callPlatform('ListObjectsV2', async () => await client.send(command))
       return Contents.map(({ Key }) => Key ?? '')
     }
   }
 }
-
-async function call<Result> (operation: string, send: () => Promise<Result>): Promise<Result> {
-  try {
-    return await send()
-  } catch (thrown) {
-    throw new WorkswardError('PlatformUnavailable', { operation, reason: describeThrown(thrown) })
-  }
-}
--- a/src/mysql-proxy/storage/table-client.ts
+++ b/src/mysql-proxy/storage/table-client.ts
@@ -2,10 +2,10 @@
 import {
   DynamoDBClient, GetItemCommand, QueryCommand, TransactWriteItemsCommand, type AttributeValue
 } from '@aws-sdk/client-dynamodb'
-import { describeThrown, WorkswardError } from '../../core/errors/index.ts'
+import { callPlatform } from './call-platform.ts'
 import type { ConditionalRow, PlatformTable, TableRow } from './types.ts'
 
-/** Rows that one page of a listing may have. */
+/** Greatest number of rows in one page of a listing; chosen, not measured. */
 const PAGE_ROWS = 500
 
 /**
@@ -19,7 +19,7 @@
   return {
     read: async (partition, sort) => {
       const command = new GetItemCommand({ TableName: table, Key: keyOf(partition, sort), ConsistentRead: true })
-      const { Item } = await call('GetItem', async () => await client.send(command))
+      const { Item } = await callPlatform('GetItem', async () => await client.send(command))
       return Item === undefined ? undefined : toRow(Item)
     },
     list: async (partition, above) => {
@@ -33,7 +33,7 @@
           ConsistentRead: true,
           Limit: PAGE_ROWS
         })
-        const { Items = [] } = await call('Query', async () => await client.send(command))
+        const { Items = [] } = await callPlatform('Query', async () => await client.send(command))
         rows.push(...Items.map(toRow))
         if (Items.length < PAGE_ROWS) {
           return rows
@@ -43,7 +43,7 @@
     },
     write: async (rows) => {
       const command = new TransactWriteItemsCommand({ TransactItems: rows.map((row) => ({ Put: toPut(table, row) })) })
-      return await call('TransactWriteItems', async () => {
+      return await callPlatform('TransactWriteItems', async () => {
         try {
           await client.send(command)
           return true
@@ -58,14 +58,6 @@
   }
 }
 
-async function call<Result> (operation: string, send: () => Promise<Result>): Promise<Result> {
-  try {
-    return await send()
-  } catch (thrown) {
-    throw new WorkswardError('PlatformUnavailable', { operation, reason: describeThrown(thrown) })
-  }
-}
-
 function keyOf (partition: string, sort: string): Record<string, AttributeValue> {
   return { pk: { S: partition }, sk: { S: sort } }
 }
--- a/src/mysql-proxy/storage/types.ts
+++ b/src/mysql-proxy/storage/types.ts
@@ -1,4 +1,4 @@
-/** What worksward keeps in the platform. */
+/** What worksward stores in the platform: forms of rows, and the operations of the services that it uses. */
 import * as z from 'zod'
 
 /** A row of the table. */
