--- a/src/mysql-proxy/callers/caller-transaction.ts
+++ b/src/mysql-proxy/callers/caller-transaction.ts
@@ -1,4 +1,4 @@
-/** The transaction of one caller's connection: it lives at the home where it began. */
+/** The transaction of one caller's connection: all its statements go to the home where it began. */
 import { randomUUID } from 'node:crypto'
 import { RequestError } from '../../core/errors/index.ts'
 import { createRequestKey, fingerprintOf } from '../ledger/request-key.ts'
@@ -6,7 +6,7 @@
 import type { HomeRequests } from '../routing/home-requests.ts'
 
 /** What every request to a home carries. */
-interface RequestBase {
+export interface RequestBase {
   group: string
   service: string
   deadlineMs: number
@@ -19,7 +19,7 @@
   requests: HomeRequests
   /** What a request that declares no kind carries. */
   base: () => RequestBase
-  /** Takes the position that a commit has reached. */
+  /** Called with the floor that a commit has reached. */
   onCommitted: (floor: Awaited<ReturnType<HomeRequests['sendTo']>>['floor']) => void
 }
 
@@ -32,7 +32,7 @@
 }
 
 /** The transactions of a connection, one at a time. */
-interface CallerTransactions {
+export interface CallerTransactions {
   readonly open: boolean
   begin: () => Promise<void>
   /**
@@ -69,6 +69,7 @@
     const ended = transaction
     transaction = undefined
     if (ended !== undefined) {
+      // No log line: a home that is not reached rolls back when the link is gone, or after `transactionMs`.
       await requests.sendTo(ended.home, { ...base(), type: 'rollback', transactionId: ended.id }).catch(() => {})
     }
   }
--- a/src/mysql-proxy/callers/hint.ts
+++ b/src/mysql-proxy/callers/hint.ts
@@ -1,9 +1,9 @@
-/** What a request says of itself, in a comment of SQLCommenter form. */
+/** What a request declares of itself, in a comment of SQLCommenter form. */
 import * as z from 'zod'
 import { RequestError } from '../../core/errors/index.ts'
 import { tokenizeStatement } from '../../mysql/statement-lexer.ts'
 
-/** What a request can say of itself. */
+/** What a request can declare of itself. */
 export const hintSchema = z.strictObject({
   /** Name of its kind. */
   kind: z.string().optional(),
@@ -13,7 +13,7 @@
   key: z.string().optional()
 })
 
-/** What a request says of itself. */
+/** What a request declares of itself. */
 export type Hint = z.infer<typeof hintSchema>
 
 const PREFIX = 'worksward_'
@@ -71,6 +71,7 @@
   try {
     return decodeURIComponent(value.replaceAll("\\'", "'"))
   } catch {
+    // The only failure is an escape that cannot be decoded; the error that is thrown shows the value.
     throw malformed(`'${value}' is not URL-encoded`)
   }
 }
--- a/src/mysql-proxy/callers/index.ts
+++ b/src/mysql-proxy/callers/index.ts
@@ -1,4 +1,7 @@
-/** Plug-in `callers`: takes callers over the MySQL protocol. */
+/**
+ * Plug-in `callers`: accepts callers over the MySQL protocol and owns their connections. When the process stops,
+ * callers are disconnected between two requests, outside a transaction, as long as `stopMs` allows.
+ */
 import type { ProxySettings } from '../../core/config/index.ts'
 import { describeThrown, RequestError, WorkswardError } from '../../core/errors/index.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
@@ -13,7 +16,7 @@
 
 /** Service of the plug-in. */
 export interface Callers {
-  /** Port on which callers are taken. */
+  /** Port on which callers are accepted. */
   port: number
   /** Callers that are connected. */
   connections: () => CallerState[]
@@ -23,8 +26,9 @@
   interface Services { callers: Callers }
 }
 
-/** Bytes a command may have at most, whatever the group's own limit. */
+/** Greatest length of a command, in bytes, whatever the group's own limit; chosen, not measured. */
 const COMMAND_BYTES = 16_000_000
+/** Pause between two looks for callers that can be disconnected, in milliseconds; chosen, not measured. */
 const DRAIN_POLL_MS = 10
 
 /** A caller that is connected. */
@@ -77,16 +81,6 @@
       toRefusal
     })
 
-    /** Ends callers that are between requests and outside a transaction. */
-    const endIdle = (): void => {
-      for (const { session, client } of callers) {
-        const { busy, inTransaction } = session.state()
-        if (!busy && !inTransaction) {
-          client.end()
-        }
-      }
-    }
-
     return {
       service: { port: server.port, connections: () => [...callers].map(({ session }) => session.state()) },
       dump: () => ({ port: server.port, stopping, connections: callers.size }),
@@ -94,11 +88,7 @@
         stopping = true
         server.stopAccepting()
         await membership.leave()
-        const until = performance.now() + settings.stopMs
-        while (callers.size > 0 && performance.now() < until) {
-          endIdle()
-          await pause(DRAIN_POLL_MS)
-        }
+        await drainCallers(callers, settings.stopMs)
         context.logger.log('info', 'callers.drained', { left: callers.size })
       },
       close: async () => {
@@ -109,6 +99,23 @@
   }
 })
 
+/** Disconnects callers as they become idle, until none is left or the time is over. */
+async function drainCallers (callers: Set<ConnectedCaller>, timeoutMs: number): Promise<void> {
+  const until = performance.now() + timeoutMs
+  while (callers.size > 0 && performance.now() < until) {
+    callers.forEach(endWhenIdle)
+    await pause(DRAIN_POLL_MS)
+  }
+}
+
+/** Disconnects a caller that is between two requests and outside a transaction. */
+function endWhenIdle ({ session, client }: ConnectedCaller): void {
+  const { busy, inTransaction } = session.state()
+  if (!busy && !inTransaction) {
+    client.end()
+  }
+}
+
 /** Records how long a request took and how it ended. */
 async function measured (metrics: Metrics, run: () => Promise<Answer>): Promise<Answer> {
   const startedAt = performance.now()
@@ -123,7 +130,7 @@
   }
 }
 
-/** Every error tells the verdict, so that the caller knows whether it may send the request again. */
+/** Every error carries the verdict, so that the caller knows whether it may send the request again. */
 function toRefusal (thrown: unknown): Refusal {
   if (thrown instanceof RequestError) {
     const verdict = thrown.entry === 'StatementFailed' ? '' : ` [verdict: ${thrown.verdict}]`
--- a/src/mysql-proxy/callers/session-floors.ts
+++ b/src/mysql-proxy/callers/session-floors.ts
@@ -4,7 +4,7 @@
 import { joinFloors, NOTHING_SEEN, type SessionFloor } from '../../positions/position.ts'
 
 /** The session of a caller's connection. */
-interface SessionFloors {
+export interface SessionFloors {
   /** Identity of the session. */
   readonly id: string
   /** Whether the caller named the session by its id alone, so that it may have written elsewhere. */
@@ -12,14 +12,14 @@
   /**
    * Enters the session that a handle names.
    *
-   * @param handle - a token, which brings its floors, or an id, which brings nothing
+   * @param handle - a token, which carries its floors, or an id, which carries none
    */
   enter: (handle: string) => void
   /** Returns what the session has seen of a group. */
   floorOf: (group: string) => SessionFloor
-  /** Takes a floor that covers the one the request carried. */
+  /** Replaces the floor of a group by one that covers it. */
   replace: (group: string, floor: SessionFloor | undefined) => void
-  /** Takes a floor beside what is known. */
+  /** Joins a floor to that of a group. */
   join: (group: string, floor: SessionFloor | undefined) => void
   /** Makes a token of the session. */
   seal: () => string
