--- a/src/mysql/client.ts
+++ b/src/mysql/client.ts
@@ -1,4 +1,5 @@
 /** One connection to an upstream, with its errors turned into verdicts. */
+import type { Socket } from 'node:net'
 import mysql, { type Connection, type FieldPacket, type QueryError } from 'mysql2'
 import { RequestError, type Verdict } from '../core/errors/index.ts'
 import type { Dialer, Endpoint } from '../core/wire/dialer.ts'
@@ -43,6 +44,7 @@
   onClose: (listener: () => void) => void
 }
 
+/** Greatest number of statements that stay prepared on a connection; chosen, not measured. */
 const MAXIMUM_PREPARED_STATEMENTS = 200
 
 /**
@@ -65,12 +67,18 @@
     dateStrings: true,
     disableEval: false
   } as mysql.ConnectionOptions)
+  await logIn(connection, access.name, connectTimeoutMs)
+  return wrapConnection(connection, access.name)
+}
+
+/** Waits until the connection is logged in; destroys it when that fails or takes too long. */
+async function logIn (connection: Connection, upstream: string, timeoutMs: number): Promise<void> {
   await new Promise<void>((resolve, reject) => {
-    const timer = setTimeout(() => fail(new Error('no answer to the connection attempt')), connectTimeoutMs)
+    const timer = setTimeout(() => fail(new Error('no answer to the connection attempt')), timeoutMs)
     const fail = (error: Error): void => {
       clearTimeout(timer)
       connection.destroy()
-      reject(lost(access.name, error.message, 'not-run'))
+      reject(lost(upstream, error.message, 'not-run'))
     }
     connection.once('error', fail)
     connection.connect((error) => {
@@ -83,7 +91,6 @@
       resolve()
     })
   })
-  return wrapConnection(connection, access.name)
 }
 
 function wrapConnection (connection: Connection, upstream: string): Client {
@@ -97,7 +104,7 @@
     connection.destroy()
     listeners.forEach((listener) => listener())
   }
-  const stream = (connection as unknown as { stream: import('node:net').Socket }).stream
+  const stream = (connection as unknown as { stream: Socket }).stream
   connection.on('error', giveUp)
   stream.once('close', giveUp)
 
