--- a/src/entry/leadership/extensions.ts
+++ b/src/entry/leadership/extensions.ts
@@ -27,6 +27,11 @@
 /** Time that a peer has to grant an extension, in milliseconds: chosen, not measured. */
 const GRANT_MS = 500
 
+/** Whether hosts that grant are more than half of all. */
+function isMajority (grants: number, hosts: number): boolean {
+  return grants * 2 > hosts
+}
+
 /** Options of {@link createExtensions}. */
 interface ExtensionOptions {
   registry: Pick<Registry, 'self' | 'current' | 'peers' | 'confirmedAgeMs'>
@@ -67,11 +72,11 @@
     await Promise.all(others.map(async (peer) => {
       const granted = await ask(peer)
       grants += granted ? 1 : 0
-      if (grants * 2 > others.length + 1) {
+      if (isMajority(grants, others.length + 1)) {
         primaryLeases.extend(askedAt)
       }
     }))
-    const enough = grants * 2 > others.length + 1
+    const enough = isMajority(grants, others.length + 1)
     if (enough !== extending) {
       extending = enough
       logger.log(enough ? 'info' : 'warn', enough ? 'leadership.extended' : 'leadership.not-extended', {
--- a/src/entry/registry/readers.ts
+++ b/src/entry/registry/readers.ts
@@ -4,7 +4,8 @@
  * - Inputs: the live hosts with their names and failure domains, and the name of the host that asks.
  * - Rule: hosts are ordered by a hash of their names. One in {@link HOSTS_PER_READER} reads the registry; the same
  *   ones and at least {@link LEAST_FOLLOWERS} follow the tables. With enough of them each failure domain has its own.
- *   A host asks those of its failure domain first, starting at a place by the hash of its name.
+ *   A host asks those of its failure domain first, starting at a place by the hash of its name, then the deputies:
+ *   followers that read the registry while its readers can't.
  * - Why: calls to the store grow with a fraction of the hosts only, all hosts compute the same without agreement, and
  *   bytes between failure domains are priced.
  */
@@ -99,6 +100,26 @@
   return [...own, ...rotated(others.filter(isNear)), ...rotated(others.filter((host) => !isNear(host)))]
 }
 
+/**
+ * Orders the hosts that a host asks for the registry: the readers, then their deputies. Deputies are followers that
+ * read when readers can't. A deputy asks only those before itself, so that one reads for all, unless the store rejects
+ * it: it then reads for nobody.
+ *
+ * @param name - the host
+ * @param hosts - hosts that are not retired
+ * @param isRejected - whether the store has rejected the last read of this host
+ * @returns the others that may have read the registry, in the order in which they are asked
+ */
+export function registrySourcesFor (name: string, hosts: KnownHost[], isRejected: boolean): KnownHost[] {
+  const readers = readersOf(hosts)
+  const followers = followersOf(hosts)
+  const place = followers.findIndex((host) => host.name === name)
+  const isReader = readers.some((reader) => reader.name === name)
+  const deputies = isRejected || isReader || place < 0 ? followers : followers.slice(0, place)
+  const sources = [...orderFor(name, hosts, readers), ...deputies]
+  return [...new Set(sources)].filter((source) => source.name !== name)
+}
+
 function hashOf (name: string): string {
   return createHash('sha256').update(name).digest('hex')
 }
--- a/src/entry/registry/snapshot-refresh.ts
+++ b/src/entry/registry/snapshot-refresh.ts
@@ -5,14 +5,15 @@
  * - Inputs: whether this host is a reader or a deputy (by the order of followers), the ages of its snapshot and of its
  *   confirmation (milliseconds), when it last read the store, and which hosts failed to answer recently.
  * - Rule: a reader reads the store; while the store rejects it, it asks others. Any other host asks up to
- *   {@link READERS_ASKED} readers and deputies, and reads the store only when none returns a young snapshot.
+ *   {@link READERS_ASKED} readers and deputies (`readers.ts`), and reads the store only when none returns a young
+ *   snapshot.
  * - Why: each host needs a confirmation within each lease, but calls to the store are priced, and hosts that the store
  *   rejects must keep their leases without asking a majority for extensions.
  */
 import { pause } from '../../core/time/deadline.ts'
 import { repeat } from '../../core/time/repeat.ts'
 import { createRecentFailures } from './recent-failures.ts'
-import { followersOf, orderFor, readersOf } from './readers.ts'
+import { followersOf, readersOf, registrySourcesFor } from './readers.ts'
 import type { SnapshotExchange } from './snapshot-exchange.ts'
 import type { KnownHost, RegistrySnapshot } from './snapshot.ts'
 
@@ -72,36 +73,23 @@
   const recentFailures = createRecentFailures()
 
   const isReader = (): boolean => readersOf(current().liveHosts).some((reader) => reader.name === name)
-  const placeAmongFollowers = (): number => followersOf(current().liveHosts).findIndex((host) => host.name === name)
+  const isFollower = (): boolean => followersOf(current().liveHosts).some((follower) => follower.name === name)
   const ageMs = (): number => performance.now() - current().askedAt
   const isYoung = (): boolean => ageMs() < RELAYED_AGE_MS && confirmedAgeMs() < RELAYED_AGE_MS
   let ownReadAt = -Infinity
   let isRejected = false
-  /**
-   * Followers that read when readers can't; each asks the deputies before itself, so that one reads for all. A host
-   * that the store rejects reads for nobody, and asks those after it as well.
-   */
-  const deputies = (): KnownHost[] => {
-    const place = placeAmongFollowers()
-    const followers = followersOf(current().liveHosts)
-    return isRejected || isReader() || place < 0 ? followers : followers.slice(0, place)
-  }
-  /** Hosts that may have read the registry, in the order in which they are asked; recent failures come last. */
-  const readers = (): KnownHost[] => {
-    const { liveHosts } = current()
-    const known = [...orderFor(name, liveHosts, readersOf(liveHosts)), ...deputies()]
-    const others = [...new Set(known)].filter((reader) => reader.name !== name)
-    return recentFailures.order(others).slice(0, READERS_ASKED)
-  }
+  /** The hosts that are asked in this turn; recent failures come last. */
+  const sources = (): KnownHost[] =>
+    recentFailures.order(registrySourcesFor(name, current().liveHosts, isRejected)).slice(0, READERS_ASKED)
   const refreshFromReaders = async (): Promise<boolean> => {
     if (confirmedAgeMs() >= registeredMs) {
       return false
     }
-    for (const reader of readers()) {
-      if (await exchange.askReader(reader, ageMs() < HELD_AGE_MS) && isYoung()) {
+    for (const source of sources()) {
+      if (await exchange.askReader(source, ageMs() < HELD_AGE_MS) && isYoung()) {
         return true
       }
-      recentFailures.record(reader)
+      recentFailures.record(source)
     }
     return false
   }
@@ -126,7 +114,7 @@
     if (await refreshFromReaders()) {
       return
     }
-    if (isDue(placeAmongFollowers() < 0 ? OWN_READ_PAUSE_MS : READ_PAUSE_MS)) {
+    if (isDue(isFollower() ? READ_PAUSE_MS : OWN_READ_PAUSE_MS)) {
       await readNow()
     }
     await pause(FAILURE_PAUSE_MS)
--- a/test/entry/process/failover-time.test.ts
+++ b/test/entry/process/failover-time.test.ts
@@ -45,7 +45,7 @@
     expect(new Set(suite.world.upstreams.promotions.map(({ upstream }) => upstream)).size).toEqual(1)
   })
 
-  it('is short when a host is gone for good, once its right has lapsed', async () => {
+  it('is short when a host is gone for good, once its lease has expired', async () => {
     powerOff('h3')
     await suite.clock.tickAsync(EXTENDED_LEASE_MS + LEASE_MARGIN_MS + 4000)
     expect(await gapAfter(crashPrimary, ['h1', 'h2']) < 1500).toEqual(true)
@@ -73,7 +73,7 @@
     expect(new Set(suite.world.upstreams.promotions.map(({ upstream }) => upstream)).size).toEqual(1)
   })
 
-  it('is bounded when whoever begins a succession is cut off from all upstreams', async () => {
+  it('is bounded when the host that begins a failover is cut off from all upstreams', async () => {
     const beginners = new Set<string>()
     suite.world.logger = {
       log: (_level, said, fields) => {
@@ -86,13 +86,13 @@
     expect(await gapAfter(crashPrimary, ['h1', 'h2', 'h3']) < 3500).toEqual(true)
   })
 
-  it('waits for the right of a host that has just fallen silent, among few', async () => {
+  it('waits for the lease of a host that has just fallen silent, among few', async () => {
     powerOff('h3')
     const gap = await gapAfter(crashPrimary, ['h1', 'h2'])
     expect(gap > EXTENDED_LEASE_MS && gap < EXTENDED_LEASE_MS + LEASE_MARGIN_MS + 4000).toEqual(true)
   })
 
-  it('waits no longer than a right lasts unextended, among many', async () => {
+  it('waits no longer than a lease lasts unextended, among many', async () => {
     for (const host of ['h4', 'h5']) {
       await suite.world.startHost(host)
     }
--- a/test/entry/registry/readers.test.ts
+++ b/test/entry/registry/readers.test.ts
@@ -1,6 +1,6 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { HOSTS_PER_READER, orderFor, readersOf } from '../../../src/entry/registry/readers.ts'
+import { followersOf, HOSTS_PER_READER, orderFor, readersOf, registrySourcesFor } from '../../../src/entry/registry/readers.ts'
 import { createSnapshot, type KnownHost } from '../../../src/entry/registry/snapshot.ts'
 import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
@@ -23,7 +23,7 @@
     expect((await writeOn(others()[0]!)).failure).toEqual(undefined)
   })
 
-  it('are not missed when they stand still', async () => {
+  it('are not missed when they are paused', async () => {
     suite.world.silent.add(reader())
     suite.world.store.cutOff.add(reader())
     for (let turn = 0; turn < 8; turn++) {
@@ -38,7 +38,7 @@
     }
   })
 
-  it('tell of a closed group soon, also without being asked to look', async () => {
+  it('pass a closed group on soon, also without being asked to refresh', async () => {
     const primary = suite.world.upstreams.all.get('g-a')!
     primary.crash()
     await writeOn(others()[0]!)
@@ -68,7 +68,7 @@
     expect(orderFor(first!.name, hostsNamed(NAMES), readersOf(hostsNamed(NAMES)))[0]?.name).toEqual(first!.name)
   })
 
-  it('spreads those who ask over the readers', () => {
+  it('spreads the requesters over the readers', () => {
     const hosts = hostsNamed(many)
     const asked = new Map<string, number>()
     for (const name of many.slice(0, 600)) {
@@ -79,9 +79,30 @@
   })
 })
 
+describe('the hosts that are asked for the registry', () => {
+  const names = Array.from({ length: 16 }, (_, index) => `h${index + 1}`)
+  const hosts = hostsNamed(names)
+  const followers = followersOf(hosts).map(({ name }) => name)
+  const [reader, first, second] = followers
+  const sourcesOf = (name: string, isRejected = false): string[] =>
+    registrySourcesFor(name, hosts, isRejected).map((source) => source.name)
+
+  it('are the reader, then its deputies', () => {
+    const other = names.find((name) => !followers.includes(name))!
+    expect(sourcesOf(other)).toEqual(followers)
+    expect(sourcesOf(reader!)).toEqual(followers.slice(1))
+  })
+
+  it('are those before it for a deputy, and all others while the store rejects it', () => {
+    expect(sourcesOf(first!)).toEqual([reader!])
+    expect(sourcesOf(second!)).toEqual([reader!, first!])
+    expect(sourcesOf(second!, true)).toEqual(followers.filter((name) => name !== second))
+  })
+})
+
 describe('the digest of a snapshot', () => {
   const row = { key: 'host/a', value: JSON.stringify(hostsNamed(['a'])[0]), version: 3 }
-  it('tells rows of other versions apart, and not the store\'s version', () => {
+  it('differs for rows of other versions, and not for another version of the store', () => {
     const snapshot = createSnapshot([row], 10, 0)
     expect(createSnapshot([row], 11, 5).digest).toEqual(snapshot.digest)
     expect(createSnapshot([{ ...row, version: 4 }], 10, 0).digest === snapshot.digest).toEqual(false)
--- a/test/entry/registry/silent-feeds.test.ts
+++ b/test/entry/registry/silent-feeds.test.ts
@@ -9,14 +9,14 @@
   const suite = setUpWorld(['h1', 'h2', 'h3'])
   const versions = () => [...suite.world.hosts.values()].map(({ kernel }) => kernel.use('desiredState').current?.version)
 
-  it('has a desired state in force as soon as peers tell that there is one', async () => {
+  it('has a desired state in force as soon as peers notify it that there is one', async () => {
     suite.world.store.silenceFeeds('h2')
     suite.world.configure([MONEY, { ...MONEY, database: 'more' }])
     await suite.clock.tickAsync(IN_FORCE_MS / 2)
     expect(versions()).toEqual([2, 2, 2])
   })
 
-  it('sees an upstream leave as soon as peers tell of it', async () => {
+  it('sees an upstream leave as soon as peers notify it', async () => {
     suite.world.store.silenceFeeds('h2')
     const replica = suite.world.upstreams.all.get('g-b')!
     replica.draining = true
--- a/test/entry/registry/snapshot-refresh.test.ts
+++ b/test/entry/registry/snapshot-refresh.test.ts
@@ -14,14 +14,14 @@
   name, version: 1, address: '127.0.0.1', port: 1, failureDomain: 'x', process: 'p'
 }))
 /**
- * Seeds with which the reader or its first stand-in took its knowledge for younger than it stayed, or asked only the
+ * Seeds with which the reader or its first deputy took its knowledge for younger than it stayed, or asked only the
  * other one, so that it asked all hosts for an extension.
  */
 const SEEDS = [35, 64, 72, 153]
 const FOLLOWERS = followersOf(HOSTS).map(({ name }) => name)
 
-/** What a host asks and learns while the store turns it away, and one other host reads for all. */
-class TurnedAway {
+/** What a host asks and receives while the store rejects it, and one other host reads for all. */
+class Rejected {
   /** Hosts that were asked. */
   readonly asked = new Set<string>()
   /** Greatest age that its knowledge reached, in milliseconds. */
@@ -65,25 +65,25 @@
   beforeEach(() => { clock = fakeTimers.install() })
   afterEach(() => clock.uninstall())
 
-  it('lets a stand-in that the store turns away ask those who stand in after it', async () => {
+  it('lets a deputy that the store rejects ask the deputies after it', async () => {
     const [, first, second] = FOLLOWERS
-    const host = new TurnedAway(first!, second!)
+    const host = new Rejected(first!, second!)
     await clock.tickAsync(20_000)
     host.close()
     expect(host.asked.has(second!)).toEqual(true)
     expect(host.greatestAgeMs < EXTEND_AFTER_MS).toEqual(true)
   })
 
-  it('keeps what a reader knows young while the store turns it away', async () => {
-    const host = new TurnedAway(readersOf(HOSTS)[0]!.name, FOLLOWERS.at(-1)!)
+  it('keeps the snapshot of a reader young while the store rejects it', async () => {
+    const host = new Rejected(readersOf(HOSTS)[0]!.name, FOLLOWERS.at(-1)!)
     await clock.tickAsync(20_000)
     host.close()
     expect(host.greatestAgeMs < EXTEND_AFTER_MS).toEqual(true)
   })
 })
 
-/** Plays a fleet of which the store turns every third host away; returns how many extensions were asked for. */
-async function playTurnedAway (clock: Clock): Promise<number> {
+/** Plays a fleet of which the store rejects every third host; returns how many extensions were asked for. */
+async function playRejections (clock: Clock): Promise<number> {
   const world = new World()
   world.addGroup('g')
   world.configure([MONEY])
@@ -99,13 +99,13 @@
   return world.messagesByType.get('extend') ?? 0
 }
 
-describe('hosts that the store turns away, the reader and its first stand-in among them', () => {
+describe('hosts that the store rejects, the reader and its first deputy among them', () => {
   for (const seed of SEEDS) {
-    it(`learn from who reads: seed ${seed}`, async () => {
+    it(`get the registry from hosts that read: seed ${seed}`, async () => {
       useFakeFleet()
       const restoreRandom = seedRandom(seed)
       const clock = fakeTimers.install()
-      const extensions = await playTurnedAway(clock)
+      const extensions = await playRejections(clock)
       clock.uninstall()
       restoreRandom()
       expect(extensions).toEqual(0)
--- a/test/entry/registry/table-copy.test.ts
+++ b/test/entry/registry/table-copy.test.ts
@@ -5,11 +5,11 @@
 const row = (key: string, version: number) => ({ key, value: `${key}${version}`, version })
 
 describe('a copy of a table', () => {
-  it('tells nothing before it knows the table', async () => {
+  it('returns nothing before it knows the table', async () => {
     expect(await createTableCopy().changesSince(undefined, 0)).toEqual(undefined)
   })
 
-  it('tells all to who knows nothing, and what has changed to who knows an earlier version', async () => {
+  it('returns all to a requester that knows nothing, and changes to one that knows an earlier version', async () => {
     const copy = createTableCopy()
     copy.replace([row('a', 1), row('b', 2)], 5)
     copy.update([row('b', 7)], ['a'], 8)
@@ -18,19 +18,19 @@
     expect(await copy.changesSince(8, 0)).toEqual({ version: 8, isWhole: false, rows: [], removed: [] })
   })
 
-  it('tells all to who knows less than what it has followed', async () => {
+  it('returns all to a requester that knows less than what it has followed', async () => {
     const copy = createTableCopy()
     copy.replace([row('a', 1)], 5)
     expect((await copy.changesSince(4, 0))?.isWhole).toEqual(true)
   })
 
-  it('tells nothing to who knows more', async () => {
+  it('returns nothing to a requester that knows more', async () => {
     const copy = createTableCopy()
     copy.replace([row('a', 1)], 5)
     expect(await copy.changesSince(6, 0)).toEqual(undefined)
   })
 
-  it('does not tell a row as removed that is there again', async () => {
+  it('does not return a row as removed that exists again', async () => {
     const copy = createTableCopy()
     copy.replace([row('a', 1)], 5)
     copy.update([], ['a'], 6)
@@ -38,7 +38,7 @@
     expect(await copy.changesSince(5, 0)).toEqual({ version: 7, isWhole: false, rows: [row('a', 7)], removed: [] })
   })
 
-  it('answers who waits as soon as something changes', async () => {
+  it('answers a waiting requester as soon as something changes', async () => {
     const copy = createTableCopy()
     copy.replace([], 5)
     const waiting = copy.changesSince(5, 60_000)
--- a/test/entry/registry/table-exchange.test.ts
+++ b/test/entry/registry/table-exchange.test.ts
@@ -30,7 +30,7 @@
     expect(calls() - before <= 2 * LEAST_FOLLOWERS).toEqual(true)
   })
 
-  it('reach hosts whose follower stands still', async () => {
+  it('reach hosts whose follower is paused', async () => {
     const asked = orderFor(OTHERS[0]!, HOSTS, followersOf(HOSTS))[0]!.name
     suite.world.silent.add(asked)
     suite.world.store.cutOff.add(asked)
@@ -47,7 +47,7 @@
     expect(allHave(2)).toEqual(true)
   })
 
-  it('reach a follower that the store has left without an answer, and those who ask it', async () => {
+  it('reach a follower that the store has left without an answer, and hosts that ask it', async () => {
     const asked = orderFor(OTHERS[0]!, HOSTS, followersOf(HOSTS))[0]!.name
     suite.world.store.silenceFeeds(asked)
     suite.world.store.cutOff.add(asked)
@@ -56,13 +56,12 @@
     expect(allHave(2)).toEqual(true)
   })
 
-  it('reach hosts that the store turns away, which ask it little', async () => {
-    const turnedAway = NAMES.filter((_, index) => index % 3 === 0)
-    turnedAway.forEach((name) => suite.world.store.cutOff.add(name))
+  it('reach hosts that the store rejects, which ask it little', async () => {
+    const rejected = NAMES.filter((_, index) => index % 3 === 0)
+    rejected.forEach((name) => suite.world.store.cutOff.add(name))
     const before = calls()
     await suite.clock.tickAsync(9000)
-    // The reader and the one who stands in for it ask 12 times each; the followers that are turned away, 7 times a
-    // table.
+    // The reader and its deputy ask 12 times each; the followers that are rejected, 7 times a table.
     expect(calls() - before < 150).toEqual(true)
     suite.world.configure(MORE)
     await suite.clock.tickAsync(IN_FORCE_MS)
@@ -70,7 +69,7 @@
   })
 })
 
-describe('hosts that the store turns away', () => {
+describe('hosts that the store rejects', () => {
   const suite = setUpWorld(NAMES)
 
   it('go on working at primaries for as long as readers answer', async () => {
@@ -81,7 +80,7 @@
     }
   })
 
-  it('ask no majority of all hosts for what a reader tells', async () => {
+  it('ask no majority of all hosts for what a reader returns', async () => {
     NAMES.filter((_, index) => index % 3 === 0).forEach((name) => suite.world.store.cutOff.add(name))
     await suite.clock.tickAsync(20_000)
     expect(suite.world.messagesByType.get('extend') ?? 0).toEqual(0)
