--- a/src/entry/leadership/act-on-need.ts
+++ b/src/entry/leadership/act-on-need.ts
@@ -7,7 +7,7 @@
 import type { GroupRow } from '../registry/index.ts'
 import { runFailover } from './failover.ts'
 import { nameFirstPrimary } from './first-primary.ts'
-import type { PersistentNeed } from './group-watch.ts'
+import type { ObservedNeed } from './group-watch.ts'
 import { PROBE_MS } from './probe-times.ts'
 import { createPromotionLease } from './promotion-lease.ts'
 import { createReachQuestions } from './reach-questions.ts'
@@ -27,7 +27,7 @@
  */
 export function createAction (
   context: PluginContext, closeHere: (group: string, epoch: number) => Promise<void>
-): (group: string, persistent: PersistentNeed) => Promise<void> {
+): (group: string, observed: ObservedNeed) => Promise<void> {
   const { logger } = context
   const { promotion } = context.use('ports')
   const registry = context.use('registry')
@@ -40,7 +40,7 @@
   const reach = createReachQuestions({ registry, directory, pools, homes: context.use('homes'), peers, logger })
 
   /** Checks a need that rests on indirect evidence by asking hosts or the upstream itself. */
-  const isConfirmed = async (group: string, { need }: PersistentNeed, { primary }: GroupRow): Promise<boolean> => {
+  const isConfirmed = async (group: string, { need }: ObservedNeed, { primary }: GroupRow): Promise<boolean> => {
     if (need === 'unreachable') {
       return await reach.isLost(group, primary)
     }
@@ -51,20 +51,20 @@
     const report = upstream === undefined ? undefined : await pools.probe(upstream, PROBE_MS)
     return report?.role === 'replica'
   }
-  return async (group, persistent) => {
-    const { need, since } = persistent
+  return async (group, observed) => {
+    const { need, since } = observed
     if (need === 'first-primary') {
       await nameFirstPrimary(group, { registry, directory, logger })
       return
     }
     const { row } = registry.current.group(group)
-    if (row === undefined || row.epoch !== persistent.epoch || !await isConfirmed(group, persistent, row)) {
+    if (row === undefined || row.epoch !== observed.epoch || !await isConfirmed(group, observed, row)) {
       return
     }
     const primary = await runFailover({
       group,
       reason: need,
-      epoch: persistent.epoch,
+      epoch: observed.epoch,
       closedSince: need === 'unfinished' ? since : undefined,
       knownTerm: Math.max(row.term, freshness.of(group).newest?.term ?? 0),
       promotionLease,
--- a/src/entry/leadership/failover.ts
+++ b/src/entry/leadership/failover.ts
@@ -65,6 +65,7 @@
   }
   const { epoch, primary } = before.row
   const old = options.directory.get(primary)
+  // A renewal that fails is logged where it fails; the next one or the order notices that the lease is lost.
   const stopRenewing = repeat(LEASE_RENEW_MS, async () => { await options.promotionLease.hold() })
   const closed = Promise.all([options.closeHere(epoch), awaitClosed({ ...options, epoch, closedAt })])
   // A primary that is out of reach is not waited for once no host works there: it answers nothing for a whole probe.
--- a/src/entry/leadership/group-need.ts
+++ b/src/entry/leadership/group-need.ts
@@ -22,6 +22,7 @@
 const STAGGER_MS = 120
 /** Time for which a primary must be unreachable before this host acts, in milliseconds: chosen, not measured. */
 const UNREACHABLE_MS = 150
+
 /** What a group needs. */
 export type GroupNeed = 'first-primary' | FailoverReason
 
--- a/src/entry/leadership/group-watch.ts
+++ b/src/entry/leadership/group-watch.ts
@@ -10,7 +10,7 @@
 const RETRY_MS = 300
 
 /** A need of a group, and since when this host has seen it. */
-export interface PersistentNeed {
+export interface ObservedNeed {
   need: GroupNeed
   /** Epoch in which it arose; 0 before the first one. */
   epoch: number
@@ -23,14 +23,14 @@
   homes: Pick<Homes, 'of'>
   logger: Logger
   /** Acts on what a group needs. */
-  act: (group: string, persistent: PersistentNeed) => Promise<void>
+  act: (group: string, observed: ObservedNeed) => Promise<void>
 }
 
 /** Watches groups. */
 export interface GroupWatch {
   /** Assesses a group, and acts when its need has persisted long enough for this host. */
   consider: (group: string) => void
-  needs: () => Record<string, PersistentNeed>
+  needs: () => Record<string, ObservedNeed>
 }
 
 /**
@@ -41,11 +41,11 @@
  */
 export function createGroupWatch (options: GroupWatchOptions): GroupWatch {
   const { registry, directory, homes, logger, act } = options
-  const needs = new Map<string, PersistentNeed>()
+  const needs = new Map<string, ObservedNeed>()
   const acting = new Set<string>()
 
   /** The current need; the same need in another epoch is a new one. */
-  const persistentNeed = (group: string): PersistentNeed | undefined => {
+  const observedNeed = (group: string): ObservedNeed | undefined => {
     const need = assessGroup(group, options)
     if (need === undefined) {
       needs.delete(group)
@@ -53,9 +53,9 @@
     }
     const epoch = registry.current.group(group).row?.epoch ?? 0
     const known = needs.get(group)
-    const persistent = known?.need === need && known.epoch === epoch ? known : { need, epoch, since: performance.now() }
-    needs.set(group, persistent)
-    return persistent
+    const observed = known?.need === need && known.epoch === epoch ? known : { need, epoch, since: performance.now() }
+    needs.set(group, observed)
+    return observed
   }
   const homesOfPrimary = (group: string): string[] => {
     const primary = directory.get(registry.current.group(group).row?.primary ?? '')
@@ -64,16 +64,16 @@
   return {
     needs: () => Object.fromEntries(needs),
     consider: (group) => {
-      const persistent = persistentNeed(group)
-      if (persistent === undefined || acting.has(group)) {
+      const observed = observedNeed(group)
+      if (observed === undefined || acting.has(group)) {
         return
       }
-      const persistedMs = performance.now() - persistent.since
-      if (persistedMs === 0 || persistedMs < staggerOf(group, persistent.need, registry, homesOfPrimary(group))) {
+      const persistedMs = performance.now() - observed.since
+      if (persistedMs === 0 || persistedMs < staggerOf(group, observed.need, registry, homesOfPrimary(group))) {
         return
       }
       acting.add(group)
-      act(group, persistent)
+      act(group, observed)
         .catch((thrown: unknown) => logger.log('warn', 'failover.failed', { group, reason: describeThrown(thrown) }))
         .then(async () => await pause(RETRY_MS))
         .finally(() => acting.delete(group))
--- a/src/entry/registry/index.ts
+++ b/src/entry/registry/index.ts
@@ -18,7 +18,7 @@
 import { createSnapshotExchange } from './snapshot-exchange.ts'
 import { keepSnapshotFresh } from './snapshot-refresh.ts'
 
-export type { KnownHost, } from './snapshot.ts'
+export type { KnownHost } from './snapshot.ts'
 export type { Registry } from './service.ts'
 export * from './types.ts'
 
@@ -59,6 +59,7 @@
       readAndRegister: async () => await refresh() && await ownRow.register(),
       onError: (thrown) => logger.log('debug', 'registry.register-failed', { reason: describeThrown(thrown) })
     })
+    // Peers that do not answer are logged by the exchange.
     const stopAskingAny = repeat(AGE_CHECK_MS, async () => {
       if (performance.now() - state.current.askedAt > ASK_ANY_AFTER_MS) {
         await exchange.askSome(state.others())
