--- a/src/cli/run-command.ts
+++ b/src/cli/run-command.ts
@@ -56,7 +56,7 @@
 }
 
 /**
- * Keeps a process running until it is told to stop: SIGTERM and SIGINT stop it as planned, SIGUSR2 dumps its state.
+ * Keeps a process running until it gets the signal to stop: SIGTERM and SIGINT stop it as planned, SIGUSR2 dumps its state.
  *
  * @param kernel - the running process
  * @param logger - for events
--- a/src/core/errors/catalogue.ts
+++ b/src/core/errors/catalogue.ts
@@ -1,6 +1,6 @@
 /**
  * The one catalogue of errors: every error a person can meet, with a title, a message built from typed
- * arguments and a hint that tells the reader what to do.
+ * arguments and a hint that says what the reader can do.
  */
 
 /** One entry of the catalogue. */
--- a/src/core/kernel/index.ts
+++ b/src/core/kernel/index.ts
@@ -37,7 +37,7 @@
 /** A running plug-in. */
 interface RunningPlugin<Service> {
   service: Service
-  /** Tells others that the process is about to stop; called for all plug-ins before any of them drains. */
+  /** Announces to other processes that this one is about to stop; called for all plug-ins before any of them drains. */
   announceStop?: () => void
   /** Finishes work in flight before the process closes; called in order while everything still runs. */
   drain?: () => Promise<void>
--- a/src/core/logger/bounded-stream.ts
+++ b/src/core/logger/bounded-stream.ts
@@ -6,7 +6,7 @@
 const WAITING_BYTES = 256 * 1024
 
 /**
- * Creates the stream. Lines that find no room are dropped; a line tells how many once there is room again.
+ * Creates the stream. Lines that find no room are dropped; a line says how many once there is room again.
  *
  * @param descriptor - file descriptor, such as standard output
  * @returns the stream
--- a/src/emulation/standin/change-signal.ts
+++ b/src/emulation/standin/change-signal.ts
@@ -1,8 +1,8 @@
-/** Tells those who wait for it that something has changed. */
+/** Notifies those who wait for it that something has changed. */
 export class ChangeSignal {
   private readonly listeners = new Set<() => void>()
 
-  /** Tells all who wait now. */
+  /** Notifies all who wait now. */
   notify (): void {
     const told = [...this.listeners]
     this.listeners.clear()
--- a/src/emulation/standin/replication.ts
+++ b/src/emulation/standin/replication.ts
@@ -16,7 +16,7 @@
 }
 
 /** The upstream whose database follows. */
-export interface ReplicationOptions {
+interface ReplicationOptions {
   log: ReplicationLog
   lagMs: () => number
   isPrimary: () => boolean
--- a/src/entry/limits/seen-part.ts
+++ b/src/entry/limits/seen-part.ts
@@ -7,7 +7,7 @@
  */
 
 /** What is known of one other host. */
-export interface HostSight {
+interface HostSight {
   reachability: 'answers' | 'silent' | 'unknown'
   /** Whether it has requested operations lately. */
   isRecentRequester: boolean
--- a/src/entry/pools/connection-opener.ts
+++ b/src/entry/pools/connection-opener.ts
@@ -87,7 +87,7 @@
 }
 
 /**
- * Says what a failed attempt to connect tells about the upstream.
+ * Says what a failed attempt to connect reveals about the upstream.
  *
  * @param thrown - what the port threw
  * @returns the fault; undefined when the upstream is healthy and has no room
--- a/src/entry/pools/connection-waiters.ts
+++ b/src/entry/pools/connection-waiters.ts
@@ -17,7 +17,7 @@
 }
 
 /** Requests that wait for a connection. */
-export interface ConnectionWaiters {
+interface ConnectionWaiters {
   readonly count: number
   /**
    * Adds a request by its priority.
--- a/src/entry/pools/idle-connections.ts
+++ b/src/entry/pools/idle-connections.ts
@@ -20,7 +20,7 @@
 const SURPLUS_IDLE_SHARED_MS = 10_000
 
 /** Idle connections of a pool. */
-export interface IdleConnections {
+interface IdleConnections {
   readonly count: number
   /** Adds a connection as the most recently used one. */
   add: (pooled: PooledConnection) => void
--- a/src/entry/readiness/index.ts
+++ b/src/entry/readiness/index.ts
@@ -1,7 +1,7 @@
 /**
  * Plug-in `readiness`: answers the balancer, and shows metrics and the state dump on a port of their own.
  *
- * When is the process ready? Once it knows a desired state and an upstream, until it is told to stop.
+ * When is the process ready? Once it knows a desired state and an upstream, until it has to stop.
  */
 import { createServer, type Server } from 'node:http'
 import type { EntrySettings } from '../../core/config/entry-settings.ts'
--- a/src/entry/requests/attempt.ts
+++ b/src/entry/requests/attempt.ts
@@ -7,7 +7,7 @@
 import type { DataWork, EntryContext, RequestScope } from './types.ts'
 
 /** Outcome of an attempt: the upstream's answer, or why there is none. */
-export type AttemptOutcome = { answer: StatementAnswer } | { error: RequestError, reason: string }
+type AttemptOutcome = { answer: StatementAnswer } | { error: RequestError, reason: string }
 
 /**
  * Runs a statement once and records what its answer shows.
--- a/src/entry/requests/retry-rules.ts
+++ b/src/entry/requests/retry-rules.ts
@@ -27,7 +27,7 @@
   | { type: 'error', error: Pick<RequestError, 'entry' | 'verdict'>, reason: string }
 
 /** Verdict on a failed attempt. */
-export type RetryDecision =
+type RetryDecision =
   /** The answer, or the error, goes to the caller. */
   | { action: 'give-up' }
   | {
@@ -125,7 +125,7 @@
 }
 
 /** State of the beginning of a transaction after an attempt. */
-export interface BeginAttempt {
+interface BeginAttempt {
   attempts: number
   deadlinePassed: boolean
   /** Whether a home was asked. */
--- a/src/entry/requests/stop-sessions.ts
+++ b/src/entry/requests/stop-sessions.ts
@@ -1,5 +1,5 @@
 /**
- * Ends callers' sessions when the process is told to stop.
+ * Ends callers' sessions during a planned stop.
  *
  * When is a session ended? Inputs, in milliseconds: the time since the order to stop, the time granted in all, how long
  * the session has been idle; and whether it is in a transaction. An idle session is ended once the balancer has noticed
--- a/src/entry/requests/transaction-pin.ts
+++ b/src/entry/requests/transaction-pin.ts
@@ -6,7 +6,7 @@
 import type { StatementExecutor } from './statement-executor.ts'
 
 /** What a transaction is pinned to. */
-export interface TransactionPin {
+interface TransactionPin {
   /** Executor of the transaction; undefined before it has begun and after it has ended. */
   readonly executor: StatementExecutor | undefined
   /** Why the transaction can only be rolled back; undefined while it can go on. */
--- a/src/entry/requests/wait-rules.ts
+++ b/src/entry/requests/wait-rules.ts
@@ -50,7 +50,7 @@
 }
 
 /**
- * Returns after which time a caller is told to come back when there is no primary.
+ * Returns the time after which a caller should come back when there is no primary.
  *
  * @param expectedMs - time in which the next primary is expected; 0 when no failover is expected
  * @returns the time
--- a/src/peers/refusal.ts
+++ b/src/peers/refusal.ts
@@ -1,4 +1,4 @@
-/** Tells a peer that does not run from one that does not answer. */
+/** Distinguishes a peer that does not run from one that does not answer. */
 import { RequestError } from '../core/errors/index.ts'
 
 /** The peer's address refused the connection: no process listens there. Nothing was sent. */
--- a/test/entry/pools/statement-queue.test.ts
+++ b/test/entry/pools/statement-queue.test.ts
@@ -43,15 +43,15 @@
   refusedAfterMs: number
 }
 
-describe('the gate of an upstream', () => {
+describe('the statement queue of an upstream', () => {
   let clock: Clock
   beforeEach(() => { clock = fakeTimers.install({ toFake: ['setTimeout', 'clearTimeout', 'performance'] }) })
   afterEach(() => { clock.uninstall() })
 
-  /** Plays 1.15 times the work that the slots can do, through gates of some hosts or without any. */
+  /** Plays 1.15 times the work that the slots can do, through the queues of some hosts or without any. */
   const play = async (withGates: boolean, homes = 2): Promise<Map<string, Got>> => {
     const upstream = new BusyUpstream()
-    const gates = Array.from({ length: homes }, () => createStatementQueue({
+    const homeQueues = Array.from({ length: homes }, () => createStatementQueue({
       group: 'g', upstream: 'u', limits: () => ({ slots: SLOTS, homes })
     }))
     const random = xoroshiro128plus(SEED)
@@ -62,7 +62,7 @@
       mine.asked++
       try {
         const leave = withGates
-          ? await gates[host]!.enter({ priority, costMs: workMs, waitMs: inTimeMs / 2 })
+          ? await homeQueues[host]!.enter({ priority, costMs: workMs, waitMs: inTimeMs / 2 })
           : (): void => {}
         await upstream.run(workMs)
         leave()
@@ -111,8 +111,8 @@
   })
 
   it('refuses at once when what goes before takes longer than the wait, and says when to come back', async () => {
-    const gate = createStatementQueue({ group: 'g', upstream: 'u', limits: () => ({ slots: 1, homes: 1 }) })
-    const enter = async (waitMs: number): Promise<() => void> => await gate.enter({ priority: 1, costMs: 100, waitMs })
+    const statementQueue = createStatementQueue({ group: 'g', upstream: 'u', limits: () => ({ slots: 1, homes: 1 }) })
+    const enter = async (waitMs: number): Promise<() => void> => await statementQueue.enter({ priority: 1, costMs: 100, waitMs })
     await enter(1000)
     await enter(1000)
     for (let count = 0; count < 3; count++) {
@@ -127,12 +127,12 @@
   })
 
   it('lets the next one in when one has ended, the most urgent first, then the shortest', async () => {
-    const gate = createStatementQueue({ group: 'g', upstream: 'u', limits: () => ({ slots: 1, homes: 2 }) })
-    const first = await gate.enter({ priority: 1, costMs: 10, waitMs: 100 })
-    await gate.enter({ priority: 1, costMs: 10, waitMs: 100 })
+    const statementQueue = createStatementQueue({ group: 'g', upstream: 'u', limits: () => ({ slots: 1, homes: 2 }) })
+    const first = await statementQueue.enter({ priority: 1, costMs: 10, waitMs: 100 })
+    await statementQueue.enter({ priority: 1, costMs: 10, waitMs: 100 })
     const order: string[] = []
     const queue = (name: string, priority: number, costMs: number): void => {
-      void gate.enter({ priority, costMs, waitMs: 1000 }).then((leave) => {
+      void statementQueue.enter({ priority, costMs, waitMs: 1000 }).then((leave) => {
         order.push(name)
         leave()
       })
@@ -145,7 +145,7 @@
     first()
     await clock.tickAsync(10)
     expect(order).toEqual(['open', 'urgent', 'short', 'long'])
-    expect({ running: gate.running, waiting: gate.waiting }).toEqual({ running: 1, waiting: 0 })
+    expect({ running: statementQueue.running, waiting: statementQueue.waiting }).toEqual({ running: 1, waiting: 0 })
   })
 
   it('counts only what goes before, shared by the slots that fall to a host', () => {
--- a/test/entry/requests/forwarded-transactions.test.ts
+++ b/test/entry/requests/forwarded-transactions.test.ts
@@ -4,9 +4,9 @@
 import { pause } from '../../../src/core/time/deadline.ts'
 import type { StatementAnswer, TransactionState } from '../../../src/entry/ports/index.ts'
 import { createForwardedTransactions } from '../../../src/entry/requests/forwarded-transactions.ts'
-import type { StatementExecutor } from '../../../src/entry/requests/statement-executor.ts'
 import type { RequestScope } from '../../../src/entry/requests/types.ts'
 import type { PeerLink } from '../../../src/peers/types.ts'
+import { createRecordingExecutor } from '../../fixtures/recording-executor.ts'
 
 const SCOPE = { requestId: 'r' } as unknown as RequestScope
 
@@ -15,16 +15,9 @@
 }
 
 function setUp (idleMs = 1000) {
-  const calls: string[] = []
+  const { executor, calls, state } = createRecordingExecutor()
   const reasons: unknown[] = []
   const closeListeners: Array<() => void> = []
-  const state = { brokenBecause: undefined as string | undefined }
-  const executor = {
-    get brokenBecause () { return state.brokenBecause },
-    release: () => { calls.push('release') },
-    discard: () => { calls.push('discard') },
-    rollBack: async () => { calls.push('rollBack') }
-  } as unknown as StatementExecutor
   const logger = {
     log: (_level: string, _event: string, { reason }: { reason: string }) => { reasons.push(reason) }
   } as unknown as Logger
--- a/test/entry/requests/transaction-pin.test.ts
+++ b/test/entry/requests/transaction-pin.test.ts
@@ -1,25 +1,12 @@
 import { deepEqual, equal, throws } from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { pause } from '../../../src/core/time/deadline.ts'
-import type { StatementExecutor } from '../../../src/entry/requests/statement-executor.ts'
 import { createTransactionPin } from '../../../src/entry/requests/transaction-pin.ts'
-
-/** An executor that records how it is ended. */
-function recordingExecutor () {
-  const calls: string[] = []
-  const state = { brokenBecause: undefined as string | undefined }
-  const executor = {
-    get brokenBecause () { return state.brokenBecause },
-    release: () => { calls.push('release') },
-    discard: () => { calls.push('discard') },
-    rollBack: async () => { calls.push('rollBack') }
-  } as unknown as StatementExecutor
-  return { executor, calls, state }
-}
+import { createRecordingExecutor } from '../../fixtures/recording-executor.ts'
 
 describe('what a transaction is pinned to', () => {
   it('is rolled back once when the transaction fails, and keeps the first reason', () => {
-    const { executor, calls } = recordingExecutor()
+    const { executor, calls } = createRecordingExecutor()
     const pin = createTransactionPin(1000)
     pin.pin(executor)
     pin.fail('first')
@@ -30,7 +17,7 @@
   })
 
   it('is not rolled back while a step runs', async () => {
-    const { executor, calls } = recordingExecutor()
+    const { executor, calls } = createRecordingExecutor()
     const pin = createTransactionPin(1000)
     pin.pin(executor)
     await pin.whileRunning(async () => {
@@ -42,7 +29,7 @@
   })
 
   it('fails when the executor can no longer carry the transaction', () => {
-    const { executor, calls, state } = recordingExecutor()
+    const { executor, calls, state } = createRecordingExecutor()
     const pin = createTransactionPin(1000)
     pin.pin(executor)
     pin.ensureUsable()
@@ -52,7 +39,7 @@
   })
 
   it('is discarded, not rolled back, when its state is in doubt', () => {
-    const { executor, calls } = recordingExecutor()
+    const { executor, calls } = createRecordingExecutor()
     const pin = createTransactionPin(1000)
     pin.pin(executor)
     pin.discard('no answer')
@@ -62,7 +49,7 @@
   })
 
   it('is rolled back when the caller is idle for too long, unless the next step comes first', async () => {
-    const { executor, calls } = recordingExecutor()
+    const { executor, calls } = createRecordingExecutor()
     const pin = createTransactionPin(20)
     pin.pin(executor)
     pin.startIdleTimer()
