--- a/src/mysql-proxy/failover/elections.ts
+++ b/src/mysql-proxy/failover/elections.ts
@@ -1,4 +1,4 @@
-/** Runs elections of a group, one at a time, and tells of their outcome. */
+/** Runs the elections of a group, one at a time; logs and announces their outcome. Owns the count of promotions. */
 import type { Logger } from '../../core/logger/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import type { GroupView, Leadership } from '../upstreams/group-view.ts'
@@ -9,9 +9,9 @@
   name: string
   view: GroupView
   logger: Logger
-  /** Greatest pause after an election that failed, in milliseconds. */
+  /** Greatest pause after an election that failed, in milliseconds; the setting `watch.staggerMs`. */
   staggerMs: number
-  /** Tells homes and keepers of a new primary. */
+  /** Announces a new primary to homes and keepers. */
   announce: (leadership: Leadership) => void
 }
 
@@ -25,15 +25,15 @@
 }
 
 /** Elections of a group. */
-interface Elections {
+export interface Elections {
   readonly inProgress: boolean
   /** Primaries that were made here. */
   readonly promotions: number
   /**
    * Makes a primary, unless one is being made.
    *
-   * @param order - why, and whom
-   * @returns what came of it, for people
+   * @param order - the reason, and the preferred upstream
+   * @returns the outcome, as a text for the operator
    */
   run: (order: ElectionOrder) => Promise<string>
 }
@@ -41,7 +41,7 @@
 /**
  * Creates the elections of a group.
  *
- * @param options - the group, and whom to tell
+ * @param options - the group, and how a new primary is announced
  * @returns the elections
  */
 export function createElections ({ name, view, logger, staggerMs, announce }: ElectionsOptions): Elections {
--- a/src/mysql-proxy/failover/index.ts
+++ b/src/mysql-proxy/failover/index.ts
@@ -1,11 +1,14 @@
-/** Plug-in `failover`: watches the groups placed on this keeper and makes new primaries. */
+/**
+ * Plug-in `failover`: watches the groups placed on this keeper and makes new primaries. Wires watches to membership,
+ * configuration and peers.
+ */
 import { RequestError } from '../../core/errors/index.ts'
-import type { KeeperSettings } from '../../core/config/index.ts'
-import { registerPlugin } from '../../core/kernel/index.ts'
-import type { Member } from '../membership/types.ts'
-import { placeGroup } from '../../placement/group-homes.ts'
+import type { Group, KeeperSettings } from '../../core/config/index.ts'
+import { registerPlugin, type PluginContext } from '../../core/kernel/index.ts'
 import { createGroupWatch, type GroupWatch } from './group-watch.ts'
-import { evidenceSchema, KEEPERS_PER_GROUP, leadershipNoticeSchema, promotionWishSchema } from './types.ts'
+import { createNotices } from './notices.ts'
+import { evidenceSchema, leadershipNoticeSchema, promotionWishSchema } from './types.ts'
+import { createWatchedGroups } from './watched-groups.ts'
 
 /** Service of the plug-in. */
 interface Failover {
@@ -17,11 +20,8 @@
   interface Services { failover: Failover }
 }
 
-const NOTICE_TIMEOUT_MS = 500
-/** Time between two looks at which groups are placed here, in milliseconds. */
+/** Time between two checks of which groups are placed here, in milliseconds; chosen, not measured. */
 const PLACEMENT_MS = 500
-/** Homes that are told of a new primary at once; others learn from their own probes. */
-const TOLD_HOMES = 8
 
 registerPlugin({
   name: 'failover',
@@ -30,53 +30,22 @@
     const settings = context.settings as KeeperSettings
     const configuration = context.use('configuration')
     const membership = context.use('membership')
-    const peers = context.use('peers')
-    const watches = new Map<string, GroupWatch>()
+    const notices = createNotices(membership, context.use('peers'))
 
-    const keepersOf = (group: string): Member[] => placeGroup(group, membership.present('keeper'), KEEPERS_PER_GROUP)
-    const rankIn = (group: string): number =>
-      Math.max(0, keepersOf(group).findIndex(({ host }) => host === settings.host.name))
-
-    const tell = (members: Member[], type: string, body: unknown): void => {
-      members.filter(({ host }) => host !== settings.host.name).forEach((member) => {
-        peers.request(member, type, body, NOTICE_TIMEOUT_MS).catch(() => {})
-      })
-    }
-
-    const start = (name: string): void => {
-      const group = configuration.group(name)
-      if (group === undefined) {
-        return
-      }
-      watches.set(name, createGroupWatch({
-        name,
-        group,
-        settings,
-        dialer: context.dialer,
-        logger: context.logger,
-        rank: () => rankIn(name),
-        spreadEvidence: (observation) =>
-          tell(keepersOf(name), 'evidence', { ...observation, group: name, host: settings.host.name }),
-        announce: (leadership) => {
-          const homes = placeGroup(name, membership.present('proxy'), TOLD_HOMES)
-          tell([...homes, ...keepersOf(name)], 'leadership', { ...leadership, group: name })
-        }
-      }))
-    }
+    const startWatch = (name: string, group: Group): GroupWatch => createGroupWatch({
+      name,
+      group,
+      settings,
+      dialer: context.dialer,
+      logger: context.logger,
+      rank: () => Math.max(0, notices.keepersOf(name).findIndex(({ host }) => host === settings.host.name)),
+      spreadEvidence: (observation) => notices.spreadEvidence(name, observation),
+      announce: (leadership) => notices.announce(name, leadership)
+    })
+    const { watches, place, close } = createWatchedGroups({
+      host: settings.host.name, configuration, keepersOf: notices.keepersOf, startWatch
+    })
 
-    const place = (): void => {
-      for (const { name, group } of configuration.versions()) {
-        const watched = watches.get(name)
-        const here = group !== null && keepersOf(name).some(({ host }) => host === settings.host.name)
-        if (here && watched === undefined) {
-          start(name)
-        }
-        if (!here && watched !== undefined) {
-          watched.close()
-          watches.delete(name)
-        }
-      }
-    }
     const timer = setInterval(place, PLACEMENT_MS)
     timer.unref()
     membership.onChange(place)
@@ -86,33 +55,38 @@
       }
       place()
     })
-
-    peers.handle('evidence', async (body) => {
-      const { group, ...observation } = evidenceSchema.parse(body)
-      watches.get(group)?.hear(observation)
-      return true
-    })
-    peers.handle('leadership', async (body) => {
-      const { group, ...leadership } = leadershipNoticeSchema.parse(body)
-      watches.get(group)?.hearLeadership(leadership)
-      return true
-    })
-    peers.handle('promote', async (body) => {
-      const { group, upstream } = promotionWishSchema.parse(body)
-      const watch = watches.get(group)
-      if (watch === undefined) {
-        throw new RequestError('not-run', 'UnknownGroup', { group })
-      }
-      return await watch.promote(upstream)
-    })
+    handlePeerRequests(context, watches)
 
     return {
       service: { watches: () => watches },
       dump: () => Object.fromEntries([...watches].map(([name, watch]) => [name, watch.dump()])),
       close: () => {
         clearInterval(timer)
-        watches.forEach((watch) => watch.close())
+        close()
       }
     }
   }
 })
+
+/** Observations, announcements and operators' requests reach the watch of their group, if it is watched here. */
+function handlePeerRequests (context: PluginContext, watches: Map<string, GroupWatch>): void {
+  const peers = context.use('peers')
+  peers.handle('evidence', async (body) => {
+    const { group, ...observation } = evidenceSchema.parse(body)
+    watches.get(group)?.hear(observation)
+    return true
+  })
+  peers.handle('leadership', async (body) => {
+    const { group, ...leadership } = leadershipNoticeSchema.parse(body)
+    watches.get(group)?.hearLeadership(leadership)
+    return true
+  })
+  peers.handle('promote', async (body) => {
+    const { group, upstream } = promotionWishSchema.parse(body)
+    const watch = watches.get(group)
+    if (watch === undefined) {
+      throw new RequestError('not-run', 'UnknownGroup', { group })
+    }
+    return await watch.promote(upstream)
+  })
+}
--- a/src/mysql-proxy/failover/stragglers.ts
+++ b/src/mysql-proxy/failover/stragglers.ts
@@ -1,4 +1,7 @@
-/** Upstreams that do not follow their primary: one that came back, or one whose keeper died half-way. */
+/**
+ * Upstreams that do not follow their primary: one that came back, or one whose election was left unfinished. Relies on
+ * the statuses of the last full round of probes.
+ */
 import type { GroupView } from '../upstreams/group-view.ts'
 import { follow } from './election.ts'
 
--- a/src/mysql-proxy/failover/suspicion.ts
+++ b/src/mysql-proxy/failover/suspicion.ts
@@ -1,9 +1,10 @@
-/** Who has seen a primary fail. A promotion needs observers in two failure domains: one cut link is no reason. */
+/**
+ * Recent observations that the primary of a group does not answer, by failure domain. Owns them; `unreachable.ts`
+ * decides how many are enough.
+ */
 
-/** Time for which an observation counts, in milliseconds. */
+/** Time for which an observation counts, in milliseconds; chosen, not measured. */
 const OBSERVATION_MS = 1000
-/** Failure domains that must agree. */
-export const REQUIRED_DOMAINS = 2
 
 /** An observation of a failure. */
 export interface Observation {
@@ -14,7 +15,7 @@
 
 /** Collects observations of one group. */
 interface Suspicion {
-  /** Takes an observation made now. */
+  /** Adds an observation, with this moment as its time. */
   observe: (observation: Observation) => void
   /**
    * Counts the failure domains that have lately seen an upstream fail in a term.
@@ -24,7 +25,7 @@
    * @returns their number
    */
   domains: (upstream: string, term: number) => number
-  /** Forgets all, after the upstream answered. */
+  /** Drops all observations, since they concern an older term. */
   clear: () => void
 }
 
--- a/src/mysql-proxy/failover/types.ts
+++ b/src/mysql-proxy/failover/types.ts
@@ -1,10 +1,13 @@
-/** What keepers and proxies tell each other about primaries. */
+/** Forms of the notices about primaries between keepers and proxies. */
 import * as z from 'zod'
 
-/** Keepers that watch each group, in different failure domains where there are enough. */
+/**
+ * Keepers that watch each group, in different failure domains where there are enough. Derived: one may fail and two
+ * failure domains can still report a primary.
+ */
 export const KEEPERS_PER_GROUP = 3
 
-/** Word that an upstream does not answer somebody. */
+/** An observation that an upstream does not answer. */
 export const evidenceSchema = z.object({
   group: z.string(),
   upstream: z.string(),
@@ -15,12 +18,12 @@
   host: z.string()
 })
 
-/** Word of a new primary. */
+/** Announcement of a new primary. */
 export const leadershipNoticeSchema = z.object({
   group: z.string(),
   term: z.number().int(),
   primary: z.string()
 })
 
-/** An operator's wish for another primary. */
+/** An operator's request for another primary. */
 export const promotionWishSchema = z.object({ group: z.string(), upstream: z.string().optional() })
--- a/src/mysql/client.ts
+++ b/src/mysql/client.ts
@@ -1,7 +1,11 @@
-/** One connection to an upstream, with its errors turned into verdicts. */
+/**
+ * One connection to an upstream: turns the driver's answers and errors into answers and verdicts. Owns the connection;
+ * relies on `mysql2`.
+ */
 import mysql, { type Connection, type FieldPacket, type QueryError } from 'mysql2'
 import { RequestError, type Verdict } from '../core/errors/index.ts'
 import type { Dialer, Endpoint } from '../core/wire/dialer.ts'
+import { ConnectionLostError, lossCauseOf } from './connection-lost.ts'
 import type { Answer, Cell, Column, Statement } from './types.ts'
 
 /** Where an upstream is and how to log in. */
@@ -43,6 +47,7 @@
   onClose: (listener: () => void) => void
 }
 
+/** Prepared statements kept per connection; chosen, not measured. */
 const MAXIMUM_PREPARED_STATEMENTS = 200
 
 /**
@@ -70,7 +75,7 @@
     const fail = (error: Error): void => {
       clearTimeout(timer)
       connection.destroy()
-      reject(lost(access.name, error.message, 'not-run'))
+      reject(new ConnectionLostError('not-run', access.name, error.message, lossCauseOf(error)))
     }
     connection.once('error', fail)
     connection.connect((error) => {
@@ -107,10 +112,12 @@
     start: (done: (error: QueryError | null, result?: Result) => void) => void
   ): Promise<Result> => await new Promise<Result>((resolve, reject) => {
     if (!usable) {
-      reject(lost(upstream, 'it was closed', 'not-run'))
+      reject(new ConnectionLostError('not-run', upstream, 'it was closed', 'other'))
       return
     }
-    const onLost = (): void => finish(() => reject(lost(upstream, 'it broke before the answer', lostVerdict)))
+    const broken = 'it broke before the answer'
+    const onLost = (): void =>
+      finish(() => reject(new ConnectionLostError(lostVerdict, upstream, broken, 'broken')))
     const timer = setTimeout(() => {
       finish(() => reject(new RequestError(lostVerdict, 'DeadlineExceeded', {
         deadlineMs: timeoutMs, stage: `waiting for upstream ${upstream}`
@@ -199,14 +206,10 @@
   return Buffer.isBuffer(value) ? value : Buffer.from(String(value))
 }
 
-function toError (error: QueryError, upstream: string, lostVerdict: Verdict): RequestError {
+function toError (error: QueryError, upstream: string, lostVerdict: Verdict): Error {
   const fromServer = error.errno !== undefined && error.errno > 0 && error.sqlState !== undefined && !error.fatal
   if (fromServer) {
     return new RequestError('not-run', 'StatementFailed', { code: error.errno!, reason: error.message })
   }
-  return lost(upstream, error.message, lostVerdict)
-}
-
-function lost (upstream: string, reason: string, verdict: Verdict): RequestError {
-  return new RequestError(verdict, 'ConnectionLost', { upstream, reason })
+  return new ConnectionLostError(lostVerdict, upstream, error.message, lossCauseOf(error))
 }
