--- a/src/mysql-proxy/failover/election.ts
+++ b/src/mysql-proxy/failover/election.ts
@@ -1,6 +1,6 @@
 /**
  * Makes a primary for a new term. A majority is fenced with the term, so that no older primary can gain an
- * acknowledgement any more; the furthest of the fenced is promoted, so that nothing acknowledged is lost. No clock,
+ * acknowledgement; the furthest of the fenced is promoted, so that nothing acknowledged is lost. No clock,
  * lease or platform call is part of the argument.
  */
 import type { GroupView, UpstreamView } from '../upstreams/group-view.ts'
--- a/src/mysql-proxy/routing/acknowledgement.ts
+++ b/src/mysql-proxy/routing/acknowledgement.ts
@@ -1,4 +1,16 @@
-/** When a committed write may be acknowledged. */
+/**
+ * Rule: when may a committed write be acknowledged?
+ *
+ * Inputs: the place of its record in the log (term, position), the term its primary was chosen for, the upstream that
+ * wrote it, the acknowledgement its kind declares, and the time left (ms).
+ *
+ * - The record must stand in the term the primary was chosen for; otherwise another primary may have taken over.
+ * - `replicated`: a majority has the record, counted in its own term. A failover fences a majority, which shares an
+ *   upstream with this one, so the record survives it.
+ * - `confirmed`: a majority reports that it has seen no higher term. It does not wait for replicas; a crash can lose
+ *   the tail that was not replicated.
+ * - Without that in time the verdict is `may-have-run`: the record may survive all the same.
+ */
 import type { Kind } from '../../core/config/index.ts'
 import { RequestError } from '../../core/errors/index.ts'
 import type { Deadline } from '../../core/time/deadline.ts'
--- /dev/null
+++ b/src/mysql-proxy/routing/commit-transaction.ts
@@ -0,0 +1,114 @@
+/**
+ * Ends transactions with a commit: enters the key if the transaction may have written, waits for the acknowledgement,
+ * and settles the outcome when the answer is lost (see `settle.ts`).
+ */
+import type { Kind } from '../../core/config/index.ts'
+import { RequestError } from '../../core/errors/index.ts'
+import type { Deadline } from '../../core/time/deadline.ts'
+import { EMPTY_ANSWER } from '../../mysql/types.ts'
+import type { KeyedAttempt } from '../ledger/request-key.ts'
+import type { ConnectionPool } from '../upstreams/connection-pool.ts'
+import type { GroupView } from '../upstreams/group-view.ts'
+import { logEnd } from '../upstreams/status.ts'
+import { acknowledge } from './acknowledgement.ts'
+import { commitUnderKey, replayRecord } from './commit.ts'
+import { settle } from './settle.ts'
+import { transactionLost, type OpenTransaction, type TransactionTable } from './transaction-table.ts'
+import type { CommitRequest, HomeReply, SettleRequest } from './types.ts'
+import { isDoubtful } from './what-is-repeated.ts'
+
+/** A transaction's group, its connections and its table. */
+export interface TransactionGroup {
+  view: GroupView
+  pools: Map<string, ConnectionPool>
+  table: TransactionTable
+}
+
+/** How a commit is acknowledged and queued while its outcome is settled; the figures are chosen, not measured. */
+export const COMMIT_KIND: Kind = {
+  access: 'write',
+  acknowledgement: 'replicated',
+  repeatable: false,
+  maximumAgeMs: 0,
+  deadlineMs: 5000,
+  priority: 9
+}
+
+/**
+ * Commits a transaction.
+ *
+ * @param group - the group
+ * @param request - the transaction and its key
+ * @param deadline - when to give up
+ * @returns the reply, with the place in the log that the session has now seen
+ * @throws RequestError whose verdict says whether the transaction may have committed
+ */
+export async function commitTransaction (
+  group: TransactionGroup, request: CommitRequest, deadline: Deadline
+): Promise<HomeReply> {
+  const { table } = group
+  const id = request.transactionId
+  const attempt = attemptOf(request)
+  try {
+    const reply = await table.step(id, async (transaction) =>
+      await commitStep(group.view, transaction, { writes: request.writes, attempt, deadline }))
+    table.end(id, true)
+    return reply
+  } catch (thrown) {
+    table.end(id, false)
+    if (isDoubtful(thrown)) {
+      return await settleAttempt(group, attempt, deadline)
+    }
+    if (thrown instanceof RequestError && thrown.entry === 'StatementFailed') {
+      throw transactionLost(thrown.message)
+    }
+    throw thrown
+  }
+}
+
+/**
+ * Finds out whether a transaction committed, after its home was lost.
+ *
+ * @param group - the group
+ * @param request - key and fingerprint of the transaction
+ * @param deadline - when to give up
+ * @returns the recorded answer when it committed
+ * @throws RequestError as `settle`
+ */
+export async function settleTransaction (
+  group: TransactionGroup, request: SettleRequest, deadline: Deadline
+): Promise<HomeReply> {
+  return await settleAttempt(group, attemptOf(request), deadline)
+}
+
+async function settleAttempt (
+  { view, pools }: TransactionGroup, attempt: KeyedAttempt, deadline: Deadline
+): Promise<HomeReply> {
+  return await settle({ view, pools, kind: COMMIT_KIND, deadline }, attempt)
+}
+
+async function commitStep (
+  view: GroupView,
+  { pinned, target }: OpenTransaction,
+  { writes, attempt, deadline }: { writes: boolean, attempt: KeyedAttempt, deadline: Deadline }
+): Promise<HomeReply> {
+  const upstream = target.view.declaration.name
+  if (!writes) {
+    await pinned.client.run({ sql: 'COMMIT' }, deadline.leftMs, 'not-run')
+    return { answer: EMPTY_ANSWER, upstream }
+  }
+  const { record, status } = await commitUnderKey(pinned.client, attempt, EMPTY_ANSWER, deadline, 'may-have-run')
+  const replayed = record.outcome === 'exists'
+  if (replayed && record.state === 'tombstone') {
+    throw transactionLost('an earlier attempt under its key was given up; send the transaction again under a new key')
+  }
+  if (replayed) {
+    replayRecord(record, attempt)
+  }
+  await acknowledge({ view, kind: COMMIT_KIND, deadline }, target, logEnd(status))
+  return { answer: EMPTY_ANSWER, floor: { ...logEnd(status), seenOn: [] }, upstream, replayed }
+}
+
+function attemptOf ({ service, key, fingerprint }: CommitRequest | SettleRequest): KeyedAttempt {
+  return { scope: service, key, fingerprint, attempt: 1 }
+}
--- a/src/mysql-proxy/routing/commit.ts
+++ b/src/mysql-proxy/routing/commit.ts
@@ -1,4 +1,7 @@
-/** Runs a statement in a transaction of its own and commits it, under a request key or without one. */
+/**
+ * Runs a statement in a transaction of its own and commits it, under a request key or without one. Relies on the
+ * ledger's procedures of the upstream.
+ */
 import { RequestError, type Verdict } from '../../core/errors/index.ts'
 import type { Deadline } from '../../core/time/deadline.ts'
 import { parseLedgerRecord, type KeyedAttempt, type LedgerRecord } from '../ledger/request-key.ts'
@@ -18,7 +21,7 @@
   replayed: boolean
 }
 
-/** What came of a commit: the ledger's word, and the primary's status after it. */
+/** Result of a commit: the record of the ledger, and the primary's status after it. */
 interface CommitResult {
   record: LedgerRecord
   status: UpstreamStatus
@@ -38,7 +41,7 @@
  * @param answer - the outcome to record
  * @param deadline - when to give up
  * @param lostVerdict - the verdict to give when the answer is lost
- * @returns what came of it
+ * @returns the result of the commit
  */
 export async function commitUnderKey (
   client: Client, attempt: KeyedAttempt | undefined, answer: Answer, deadline: Deadline, lostVerdict: Verdict
@@ -57,7 +60,7 @@
  * @param attempt - its attempt; nothing is entered in the ledger when absent
  * @param deadline - when to give up
  * @param lostVerdict - the verdict to give when the answer to the commit is lost
- * @returns the answer and what came of the commit
+ * @returns the answer and the result of the commit
  */
 export async function runAndCommit (
   client: Client, statement: Statement, attempt: KeyedAttempt | undefined, deadline: Deadline, lostVerdict: Verdict
@@ -113,6 +116,7 @@
   try {
     return await client.run(statement, deadline.leftMs, 'not-run')
   } catch (thrown) {
+    // A connection that cannot roll back is closed, and the upstream rolls back with it.
     await client.run({ sql: 'ROLLBACK' }, deadline.leftMs, 'not-run').catch(() => client.close())
     throw thrown
   }
--- a/src/mysql-proxy/routing/home-reads.ts
+++ b/src/mysql-proxy/routing/home-reads.ts
@@ -1,15 +1,19 @@
-/** Reads at the home of a group: where they run, and what is tried again. */
+/**
+ * Reads at the home of a group: runs them, repeats those whose connection broke, and explains where one would run. Owns
+ * the random numbers for the choice between replicas.
+ */
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 import type { Group } from '../../core/config/index.ts'
-import { RequestError } from '../../core/errors/index.ts'
 import { Deadline, pause } from '../../core/time/deadline.ts'
 import { textColumn } from '../../mysql/answer-writer.ts'
 import { chooseUpstream, serveRead, type ReadOptions } from './read-route.ts'
 import { findKind } from './request-checks.ts'
 import { resolveFloor } from './session-floor.ts'
 import type { ExecuteRequest, ExplainRequest, HomeReply } from './types.ts'
+import { isConnectionLost } from './what-is-repeated.ts'
 
+/** Pause before a read is repeated, in milliseconds; chosen, not measured. */
 const RETRY_PAUSE_MS = 5
 
 /** Options of {@link createHomeReads}. */
@@ -21,14 +25,14 @@
   seed: number
   /** Takes a retry from the budget; false when there is none. */
   spendRetry: () => boolean
-  /** Told of each read that was served. */
+  /** Called after each read that was served. */
   onServed: (fromReplica: boolean) => void
 }
 
 /** Reads of a group. */
-interface HomeReads {
+export interface HomeReads {
   execute: (request: ExecuteRequest) => Promise<HomeReply>
-  /** Says where a statement would run, and why. */
+  /** Returns where a statement would run, and why. */
   explain: (request: ExplainRequest) => Promise<HomeReply>
 }
 
@@ -70,8 +74,7 @@
           onServed(reply.fromReplica === true)
           return reply
         } catch (thrown) {
-          const transient = thrown instanceof RequestError && thrown.entry === 'ConnectionLost'
-          if (!transient || read.deadline.passed || !spendRetry()) {
+          if (!isConnectionLost(thrown) || read.deadline.passed || !spendRetry()) {
             throw thrown
           }
           await pause(RETRY_PAUSE_MS)
--- a/src/mysql-proxy/routing/home-requests.ts
+++ b/src/mysql-proxy/routing/home-requests.ts
@@ -1,9 +1,13 @@
-/** Finds the home of a group and hands it requests, here or over a peer link. */
-import { RequestError, toRequestError } from '../../core/errors/index.ts'
+/**
+ * Sends requests to a home of their group, here or over a peer link. Owns the count of requests passed on; relies on
+ * membership for the order of homes and on `what-is-repeated.ts` for when another home is tried.
+ */
+import { RequestError } from '../../core/errors/index.ts'
 import type { Membership } from '../membership/index.ts'
 import type { Member } from '../membership/types.ts'
 import type { Peers } from '../../peers/index.ts'
 import type { HomeReply, HomeRequest } from './types.ts'
+import { asDoubtful, isDoubtful, mayTryElsewhere } from './what-is-repeated.ts'
 
 /** Options of {@link createHomeRequests}. */
 interface HomeRequestsOptions {
@@ -41,21 +45,14 @@
   home: string
 }
 
-/** Added to a request's time when another process answers it, so that its verdict arrives, in milliseconds. */
+/**
+ * Added to a request's time when another process answers it, so that its verdict arrives, in milliseconds; chosen, not
+ * measured.
+ */
 const ANSWER_GRACE_MS = 250
+/** Time after which a caller should come back when a group has no home, in milliseconds; chosen, not measured. */
 const RETRY_AFTER_MS = 100
 
-/** Requests that may be sent again when the link to their home broke: reads, and writes under a key. */
-const SAFE_TO_RESEND: Record<HomeRequest['type'], boolean> = {
-  execute: true,
-  begin: true,
-  'transaction-execute': false,
-  commit: false,
-  rollback: false,
-  settle: true,
-  explain: true
-}
-
 /**
  * Creates the sender.
  *
@@ -110,7 +107,7 @@
           if (!mayTryElsewhere(thrown, request)) {
             throw failure
           }
-          doubtful ||= thrown instanceof RequestError && thrown.verdict === 'may-have-run'
+          doubtful ||= isDoubtful(thrown)
         }
       }
       throw failure ?? new RequestError('not-run', 'NoUpstream', {
@@ -126,24 +123,3 @@
     }
   }
 }
-
-/**
- * That the last home did not run a request says nothing of an earlier home whose answer was lost. A word on the key
- * itself does: it was contested, or another request holds it.
- */
-function asDoubtful (thrown: unknown): unknown {
-  const isFinal = thrown instanceof RequestError && ['TransactionLost', 'KeyReused'].includes(thrown.entry)
-  return isFinal ? thrown : toRequestError(thrown, 'may-have-run', true)
-}
-
-/** Another home is tried after a broken link, a stop, or a refused connection; what was decided stands. */
-function mayTryElsewhere (thrown: unknown, request: HomeRequest): boolean {
-  if (!(thrown instanceof RequestError)) {
-    return false
-  }
-  if (thrown.entry === 'PeerUnavailable') {
-    return thrown.verdict === 'not-run' || SAFE_TO_RESEND[request.type]
-  }
-  const refusedConnection = thrown.entry === 'ConnectionLost' && /too many connections/i.test(thrown.message)
-  return thrown.verdict === 'not-run' && (thrown.entry === 'Stopping' || refusedConnection)
-}
--- a/src/mysql-proxy/routing/open-transactions.ts
+++ b/src/mysql-proxy/routing/link-transactions.ts
@@ -2,16 +2,16 @@
 import type { PeerLink } from '../../peers/types.ts'
 
 /** Transactions by link. */
-interface OpenTransactions {
+interface LinkTransactions {
   /**
-   * Takes note of a transaction.
+   * Records a transaction.
    *
    * @param link - the link it came over
    * @param id - its identity
-   * @param end - ends it when the link is gone
+   * @param end - rolls it back when the link is gone
    */
   add: (link: PeerLink, id: string, end: () => void) => void
-  /** Forgets a transaction that has ended. */
+  /** Drops a transaction that has ended. */
   remove: (link: PeerLink, id: string) => void
 }
 
@@ -20,7 +20,7 @@
  *
  * @returns the record
  */
-export function createOpenTransactions (): OpenTransactions {
+export function createLinkTransactions (): LinkTransactions {
   const byLink = new WeakMap<PeerLink, Map<string, () => void>>()
   return {
     add: (link, id, end) => {
--- a/src/mysql-proxy/routing/placement-cache.ts
+++ b/src/mysql-proxy/routing/placement-cache.ts
@@ -23,7 +23,7 @@
    */
   place: (group: string, count: number) => Member[]
   /**
-   * Takes over the members that there are now.
+   * Replaces the members.
    *
    * @param members - the members
    */
--- a/src/mysql-proxy/routing/primary-work.ts
+++ b/src/mysql-proxy/routing/primary-work.ts
@@ -1,11 +1,14 @@
-/** Work on the primary of a group, within the term it was chosen for. */
+/**
+ * Work on the primary of a group, within the term it was chosen for. Relies on the pools for a connection and on the
+ * view for the term.
+ */
 import type { Kind } from '../../core/config/index.ts'
 import { RequestError } from '../../core/errors/index.ts'
 import type { Deadline } from '../../core/time/deadline.ts'
 import type { Client } from '../../mysql/client.ts'
-import { MYSQL_ERROR } from '../../mysql/consts.ts'
 import type { ConnectionPool } from '../upstreams/connection-pool.ts'
 import type { GroupView, UpstreamView } from '../upstreams/group-view.ts'
+import { isConnectionLost, isReadOnlyRefusal } from './what-is-repeated.ts'
 
 /** The primary a write goes to. */
 export interface WriteTarget {
@@ -21,7 +24,7 @@
   deadline: Deadline
 }
 
-/** How long a caller is told to stay away after a refusal, in milliseconds. */
+/** Time after which a caller should come back after a refusal, in milliseconds; chosen, not measured. */
 const RETRY_AFTER_MS = 100
 
 /**
@@ -53,22 +56,13 @@
       return await work(client)
     })
   } catch (thrown) {
-    if (thrown instanceof RequestError && thrown.entry === 'ConnectionLost') {
+    if (isConnectionLost(thrown)) {
       view.markUnreachable(name, thrown.message)
     }
-    if (thrown instanceof RequestError && isReadOnlyRefusal(thrown)) {
+    if (isReadOnlyRefusal(thrown)) {
+      // A primary that does not answer is marked by the channel's own failure; the refusal is what the caller gets.
       await target.view.channel.fresh().catch(() => {})
     }
     throw thrown
   }
 }
-
-/**
- * Says whether an error is the refusal of a fenced primary; the view has yet to learn of its successor.
- *
- * @param error - the error
- * @returns whether it is
- */
-export function isReadOnlyRefusal (error: unknown): error is RequestError {
-  return error instanceof RequestError && error.entry === 'StatementFailed' && error.mysqlCode === MYSQL_ERROR.readOnly
-}
--- a/src/mysql-proxy/routing/read-route.ts
+++ b/src/mysql-proxy/routing/read-route.ts
@@ -1,6 +1,6 @@
 /**
- * Reads. A read honours the floor of its session whatever age its kind accepts; it goes to a replica that is known to
- * be fit, waits a bounded time for one to become fit, and otherwise takes the primary.
+ * Serves reads: chooses an upstream by the rule in `where-reads-run.ts`, runs the statement there, and returns what the
+ * session has now seen. Relies on the group's view for statuses and on the pools for connections.
  */
 import type { Group, Kind } from '../../core/config/index.ts'
 import { RequestError } from '../../core/errors/index.ts'
@@ -12,9 +12,11 @@
 import { useManualCommit } from '../upstreams/manual-commit.ts'
 import { laterPosition, meetsFloor, type LogPosition, type SessionFloor } from '../../positions/position.ts'
 import { logEnd } from '../upstreams/status.ts'
+import { runAndCommit } from './commit.ts'
 import { findReadIndex, resolveFloor } from './session-floor.ts'
 import type { HomeReply } from './types.ts'
-import { runAndCommit } from './commit.ts'
+import { isConnectionLost } from './what-is-repeated.ts'
+import { catchUpWaitMs, isFit, pickReplica, refreshIntervalMs, stickyCandidate } from './where-reads-run.ts'
 
 /** What a read needs. */
 export interface ReadOptions {
@@ -43,12 +45,9 @@
   reason: string
 }
 
-/** Part of the accepted age after which ages are measured anew. */
-const REFRESH_SHARE = 4
-const SHORTEST_REFRESH_MS = 20
-const LONGEST_REFRESH_MS = 250
-/** Upstreams that hold what a replica shows: itself and its primary. */
+/** Upstreams that hold what a replica shows. Derived: itself and its primary. */
 const HOLDERS_OF_REPLICA_DATA = 2
+/** Time after which a caller should come back after a refusal, in milliseconds; chosen, not measured. */
 const RETRY_AFTER_MS = 100
 
 /**
@@ -63,7 +62,7 @@
   refreshAges(options)
   const sticky = stickyReplica(options)
   if (sticky !== undefined) {
-    return await readReplica({ ...options, floor: options.floor }, sticky)
+    return await readReplica(options, sticky)
   }
   const resolved = await resolveFloor(view, options.floor, deadline)
   const floor = options.readIndex ? laterPosition(resolved, await findReadIndex(view, deadline)) : resolved
@@ -84,7 +83,7 @@
   }
   const fit = fitReplicas(options)
   if (fit.length > 0) {
-    return { upstream: pickReplica(options, fit), fromReplica: true, reason: 'a replica meets floor and age' }
+    return { upstream: pickByLoad(options, fit), fromReplica: true, reason: 'a replica meets floor and age' }
   }
   const caughtUp = await waitForReplica(options)
   if (caughtUp !== undefined) {
@@ -93,48 +92,41 @@
   return await choosePrimary(options, 'no replica meets floor and age in time')
 }
 
-/**
- * Lists the replicas that may serve a read now.
- *
- * @param options - the read
- * @returns their names
- */
 function fitReplicas ({ view, floor, kind }: Pick<PlacedRead, 'view' | 'floor' | 'kind'>): string[] {
-  return view.replicaNames.filter((name) =>
-    view.takesWork(name) && meetsFloor(view.knownEnd(name), floor) && view.age.ageMs(name) <= kind.maximumAgeMs)
+  return view.replicaNames.filter((name) => {
+    const state = { takesWork: view.takesWork(name), end: view.knownEnd(name), ageMs: view.age.ageMs(name) }
+    return isFit(state, floor, kind.maximumAgeMs)
+  })
 }
 
-/** The replica a session read from last, when it may simply go on there: what it saw there, it sees there again. */
+/** The replica a session read from last, when it is still the same database and fit: it covers what was seen there. */
 function stickyReplica ({ view, floor, kind, readIndex, group }: ReadOptions): string | undefined {
-  const [seen] = floor.seenOn
-  if (readIndex || seen === undefined || floor.seenOn.length > 1 || group.duties.reads !== 'act') {
+  const seen = stickyCandidate({ floor, readIndex, dutyActs: group.duties.reads === 'act' })
+  if (seen === undefined) {
     return undefined
   }
   const sameDatabase = view.upstreams.get(seen.upstream)?.channel.latest?.status.incarnation === seen.incarnation
   return sameDatabase && fitReplicas({ view, floor, kind }).includes(seen.upstream) ? seen.upstream : undefined
 }
 
-/** Two random choices by queue and latency, in the home's own failure domain first. */
-function pickReplica ({ view, pools, failureDomain, random }: PlacedRead, fit: string[]): string {
-  const near = fit.filter((name) => view.upstreams.get(name)?.declaration.failureDomain === failureDomain)
-  const loadOf = (name: string): number => {
+function pickByLoad ({ view, pools, failureDomain, random }: PlacedRead, fit: string[]): string {
+  const loads = fit.map((name) => {
     const state = pools.get(name)?.state()
-    return state === undefined ? 0 : (state.running + state.queued + 1) * (state.meanMs || 1)
-  }
-  const [nearest] = near
-  if (nearest !== undefined && (pools.get(nearest)?.state().queued ?? 0) === 0) {
-    return nearest
-  }
-  const first = fit[Math.floor(random() * fit.length)]!
-  const second = fit[Math.floor(random() * fit.length)]!
-  return loadOf(first) <= loadOf(second) ? first : second
+    return {
+      name,
+      isNear: view.upstreams.get(name)?.declaration.failureDomain === failureDomain,
+      queued: state?.queued ?? 0,
+      loadMs: state === undefined ? 0 : (state.running + state.queued + 1) * (state.meanMs || 1)
+    }
+  })
+  return pickReplica(loads, random)
 }
 
 async function waitForReplica (options: PlacedRead): Promise<string | undefined> {
   const { view, floor, kind, group, deadline } = options
-  const patience = new Deadline(Math.min(group.limits.catchUpMs, deadline.leftMs / 2))
-  const hopeful = view.replicaNames.filter((name) => view.takesWork(name))
-  const waits = hopeful.map(async (name) => {
+  const patience = new Deadline(catchUpWaitMs(group.limits.catchUpMs, deadline.leftMs))
+  const candidates = view.replicaNames.filter((name) => view.takesWork(name))
+  const waits = candidates.map(async (name) => {
     const { channel } = view.upstreams.get(name)!
     const reached = await channel.waitUntil((status) => meetsFloor(logEnd(status), floor), patience)
     const tooOld = (): boolean => view.age.ageMs(name) > kind.maximumAgeMs
@@ -148,6 +140,7 @@
     }
     return name
   })
+  // No replica became fit in time, or none answered: the read goes to the primary.
   return await Promise.any(waits).catch(() => undefined)
 }
 
@@ -206,7 +199,7 @@
   try {
     return await pool.run({ access: 'read', priority: kind.priority, deadline }, work)
   } catch (thrown) {
-    if (thrown instanceof RequestError && thrown.entry === 'ConnectionLost') {
+    if (isConnectionLost(thrown)) {
       view.markUnreachable(upstream, thrown.message)
     }
     throw thrown
@@ -214,8 +207,7 @@
 }
 
 function refreshAges ({ view, kind }: ReadOptions): void {
-  const interval = Math.max(SHORTEST_REFRESH_MS, Math.min(LONGEST_REFRESH_MS, kind.maximumAgeMs / REFRESH_SHARE))
-  if (performance.now() - view.age.newestProbeAt > interval) {
+  if (performance.now() - view.age.newestProbeAt > refreshIntervalMs(kind.maximumAgeMs)) {
     view.refresh()
   }
 }
--- a/src/mysql-proxy/routing/session-floor.ts
+++ b/src/mysql-proxy/routing/session-floor.ts
@@ -1,4 +1,4 @@
-/** Finds how far a session has seen, when that is not known yet. */
+/** Finds how far a session has seen, when that is not known yet. Relies on the upstreams' statuses; owns nothing. */
 import type { Deadline } from '../../core/time/deadline.ts'
 import type { GroupView } from '../upstreams/group-view.ts'
 import {
@@ -22,7 +22,7 @@
 }
 
 /**
- * Turns what a session has seen into a place in the log. Upstreams it has read from are asked how far they are now,
+ * Turns what a session has seen into a place in the log. Upstreams it has read from are asked how far they are,
  * which is at or after what it saw there.
  *
  * @param view - the group
@@ -35,7 +35,7 @@
   return ends.reduce(laterPosition, laterPosition(floor, LOG_START))
 }
 
-/** When the upstream cannot be asked any more, the furthest of a majority covers it: its primary had all it showed. */
+/** When the upstream cannot be asked, the furthest of a majority covers it: its primary had all it showed. */
 async function findEnd (
   view: GroupView, { upstream, incarnation }: SeenUpstream, deadline: Deadline
 ): Promise<LogPosition> {
@@ -47,7 +47,7 @@
         return logEnd(status)
       }
     } catch {
-      // It went away just now; the majority is asked instead.
+      // The upstream does not answer: the majority is asked instead, which covers what the session saw there.
     }
   }
   return endsOf(await view.askMajority(deadline)).at(-1) ?? LOG_START
--- a/src/mysql-proxy/routing/settle.ts
+++ b/src/mysql-proxy/routing/settle.ts
@@ -1,4 +1,16 @@
-/** Settles whether an attempt ran, after its answer was lost: its key is contested on the current primary. */
+/**
+ * Rule: what becomes of a write or a commit whose answer was lost?
+ *
+ * Inputs: the attempt (scope, key, fingerprint, number), the current primary, the record of the key in its ledger, and
+ * the time left (ms).
+ *
+ * The key is contested on the current primary: a tombstone is entered unless a record is there. What then stands counts
+ * once a majority has it.
+ * - A record `done`: the attempt ran; its recorded answer is returned.
+ * - A tombstone: it did not run and never will (`not-run`), since its commit would meet the tombstone.
+ * - A record of another request: the key was reused (`not-run`).
+ * - Any other failure is tried again until the deadline; then the outcome stays open (`may-have-run`).
+ */
 import { RequestError } from '../../core/errors/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import { parseLedgerRecord, type KeyedAttempt, type LedgerRecord } from '../ledger/request-key.ts'
@@ -8,10 +20,11 @@
 import { logEnd } from '../upstreams/status.ts'
 import { acknowledge } from './acknowledgement.ts'
 import { describeWrite, ledgerArguments, replayRecord } from './commit.ts'
-import { isReadOnlyRefusal, onPrimary, type PrimaryWork, type WriteTarget } from './primary-work.ts'
+import { onPrimary, type PrimaryWork, type WriteTarget } from './primary-work.ts'
 import type { HomeReply } from './types.ts'
+import { isReadOnlyRefusal } from './what-is-repeated.ts'
 
-/** Pause before another try, in milliseconds. */
+/** Pause before another try, in milliseconds; chosen, not measured. */
 const RETRY_PAUSE_MS = 10
 
 /**
--- a/src/mysql-proxy/routing/write-route.ts
+++ b/src/mysql-proxy/routing/write-route.ts
@@ -1,10 +1,11 @@
 /**
  * Writes. A write that is not declared repeatable enters its key in the ledger as it commits, in its own transaction,
  * so that it runs at most once. Its answer is held back until the change is on a majority. When an answer is lost, the
- * key is contested on the current primary, which settles whether the write ran.
+ * key is contested on the current primary, which settles whether the write ran. The rules are in `what-is-repeated.ts`,
+ * `acknowledgement.ts` and `settle.ts`.
  */
 import type { Kind } from '../../core/config/index.ts'
-import { RequestError, toRequestError, type Verdict } from '../../core/errors/index.ts'
+import { RequestError, toRequestError } from '../../core/errors/index.ts'
 import { pause, type Deadline } from '../../core/time/deadline.ts'
 import { createRequestKey, fingerprintOf, parseLedgerRecord, type KeyedAttempt } from '../ledger/request-key.ts'
 import type { Client } from '../../mysql/client.ts'
@@ -16,9 +17,10 @@
 import { logEnd, parseStatus } from '../upstreams/status.ts'
 import { acknowledge } from './acknowledgement.ts'
 import { describeWrite, replayRecord, runAndCommit, type CommittedWrite } from './commit.ts'
-import { isReadOnlyRefusal, onPrimary, type WriteTarget } from './primary-work.ts'
+import { onPrimary, type WriteTarget } from './primary-work.ts'
 import { settle } from './settle.ts'
 import type { HomeReply } from './types.ts'
+import { isDoubtful, isReadOnlyRefusal, mayRepeatWrite } from './what-is-repeated.ts'
 
 /** What a write needs. */
 interface WriteOptions {
@@ -34,9 +36,11 @@
   spendRetry: () => boolean
 }
 
-/** How long a caller is told to stay away while a group changes its primary, in milliseconds. */
+/**
+ * Time after which a caller should come back while a group changes its primary, in milliseconds; chosen, not measured.
+ */
 const SUPERSEDED_RETRY_MS = 250
-/** Pause before another try, in milliseconds. */
+/** Pause before another try, in milliseconds; chosen, not measured. */
 const RETRY_PAUSE_MS = 10
 
 /**
@@ -66,7 +70,7 @@
       if (!mayTryAgain(thrown, options)) {
         throw doubtful ? toRequestError(thrown, 'may-have-run', true) : thrown
       }
-      doubtful ||= thrown instanceof RequestError && thrown.verdict === 'may-have-run'
+      doubtful ||= isDoubtful(thrown)
       await pause(RETRY_PAUSE_MS)
     }
   }
@@ -98,7 +102,7 @@
     await acknowledge(options, target, committed.place)
     return describeWrite(committed, target)
   } catch (thrown) {
-    if (thrown instanceof RequestError && thrown.verdict === 'may-have-run') {
+    if (isDoubtful(thrown)) {
       return await settle(options, attempt)
     }
     throw thrown
@@ -161,20 +165,14 @@
   return { answer: replayRecord(record, attempt), place: logEnd(parseStatus(found)), replayed: true }
 }
 
-/** What a caller is told when no successor of a fenced primary was found in time. */
+/** Error of a write when no successor of a fenced primary was found in time. */
 function superseded (group: string): RequestError {
   return new RequestError('not-run', 'NoUpstream', {
     group, reason: 'its primary was superseded and no other is known yet', retryAfterMs: SUPERSEDED_RETRY_MS
   })
 }
 
-/** Whether the failure is one that another try can mend, and time and budget allow it. */
+/** Whether the failure allows another try, and time and budget do. */
 function mayTryAgain (thrown: unknown, { deadline, spendRetry, kind }: WriteOptions): boolean {
-  if (!(thrown instanceof RequestError) || deadline.passed) {
-    return false
-  }
-  const safe: Verdict[] = kind.repeatable ? ['not-run', 'may-have-run'] : ['not-run']
-  const transient = ['ConnectionLost', 'TransactionLost', 'NotAcknowledged'].includes(thrown.entry) ||
-    isReadOnlyRefusal(thrown)
-  return transient && safe.includes(thrown.verdict) && spendRetry()
+  return !deadline.passed && mayRepeatWrite(thrown, kind.repeatable) && spendRetry()
 }
