--- a/src/mysql-proxy/routing/transaction-table.ts
+++ b/src/mysql-proxy/routing/transaction-table.ts
@@ -3,7 +3,7 @@
  * the table when it ends, when its connection breaks, or when it has been open for too long.
  */
 import { RequestError } from '../../core/errors/index.ts'
-import type { PinnedConnection } from '../upstreams/connection-pool.ts'
+import type { PinnedConnection } from '../upstreams/pool-connections.ts'
 import type { WriteTarget } from './primary-work.ts'
 
 /** An open transaction. */
--- a/src/mysql-proxy/routing/what-is-repeated.ts
+++ b/src/mysql-proxy/routing/what-is-repeated.ts
@@ -13,6 +13,7 @@
  *   safe to send twice: reads, and what a request key protects. What a home decided stands.
  */
 import { RequestError, toRequestError, type Verdict } from '../../core/errors/index.ts'
+import { isTooManyConnections } from '../../mysql/connection-lost.ts'
 import { MYSQL_ERROR } from '../../mysql/consts.ts'
 import type { HomeRequest } from './types.ts'
 
@@ -113,7 +114,7 @@
   if (error.entry === 'PeerUnavailable') {
     return error.verdict === 'not-run' || SAFE_TO_RESEND[request.type]
   }
-  return error.verdict === 'not-run' && (error.entry === 'Stopping' || isRefusedConnection(error))
+  return error.verdict === 'not-run' && (error.entry === 'Stopping' || isTooManyConnections(error))
 }
 
 /**
@@ -127,8 +128,3 @@
   const isFinal = error instanceof RequestError && FINAL_ERRORS.includes(error.entry)
   return isFinal ? error : toRequestError(error, 'may-have-run', true)
 }
-
-/** Read from the text, since a reply over a peer link carries entry, details and verdict, and no further cause. */
-function isRefusedConnection (error: RequestError): boolean {
-  return error.entry === 'ConnectionLost' && /too many connections/i.test(error.message)
-}
--- a/src/mysql-proxy/upstreams/client-set.ts
+++ b/src/mysql-proxy/upstreams/client-set.ts
@@ -1,12 +1,15 @@
-/** The connections of one home to one upstream, within a share that shrinks when the upstream has no room. */
+/**
+ * The connections of one home to one upstream, within its share (`connection-share.ts`). Owns the connections; a closed
+ * or broken one leaves the set by itself.
+ */
 import { RequestError } from '../../core/errors/index.ts'
 import type { Dialer } from '../../core/wire/dialer.ts'
 import { openClient, type Client, type UpstreamAccess } from '../../mysql/client.ts'
+import { isTooManyConnections } from '../../mysql/connection-lost.ts'
+import { createConnectionShare } from './connection-share.ts'
 
-/** Time to open a connection, in milliseconds. */
+/** Time to open a connection, in milliseconds; chosen, not measured. */
 const CONNECT_TIMEOUT_MS = 1000
-/** Time after which a share that was refused grows again by one, in milliseconds. */
-const REGROW_MS = 2000
 
 /** Options of {@link createClientSet}. */
 interface ClientSetOptions {
@@ -50,24 +53,15 @@
  * @param options - upstream and share
  * @returns the set; connections are opened when needed
  */
-export function createClientSet ({ access, dialer, share: firstShare, onShareChange }: ClientSetOptions): ClientSet {
+export function createClientSet ({ access, dialer, share: declaredShare, onShareChange }: ClientSetOptions): ClientSet {
   const clients = new Set<Client>()
   const idle: Client[] = []
-  let declaredShare = firstShare
-  let share = firstShare
+  const share = createConnectionShare(declaredShare, onShareChange)
   let opening = 0
-  let refused = 0
   let closed = false
   /** Counts the times that all connections were broken: one that was being opened then is broken too. */
   let aborts = 0
 
-  const changeShare = (next: number): void => {
-    share = next
-    onShareChange()
-  }
-  const regrow = setInterval(() => changeShare(Math.min(declaredShare, share + 1)), REGROW_MS)
-  regrow.unref()
-
   const forget = (client: Client): void => {
     clients.delete(client)
     const index = idle.indexOf(client)
@@ -90,8 +84,7 @@
       return client
     } catch (thrown) {
       if (isTooManyConnections(thrown)) {
-        refused++
-        changeShare(Math.max(1, clients.size))
+        share.shrink(clients.size)
       }
       throw thrown
     } finally {
@@ -104,19 +97,19 @@
     open.forEach((client) => client.close())
   }
   return {
-    get share () { return share },
+    get share () { return share.current },
     get open () { return clients.size },
     get idle () { return idle.length },
-    get refused () { return refused },
+    get refused () { return share.refused },
     take: () => {
       const client = idle.pop()
       if (client !== undefined) {
         return Promise.resolve(client)
       }
-      return clients.size + opening >= Math.max(1, share) ? undefined : open()
+      return clients.size + opening >= Math.max(1, share.current) ? undefined : open()
     },
     giveBack: (client, reuse) => {
-      if (!reuse || closed || clients.size > share) {
+      if (!reuse || closed || clients.size > share.current) {
         client.close()
         return
       }
@@ -124,19 +117,12 @@
         idle.push(client)
       }
     },
-    setShare: (wanted) => {
-      declaredShare = wanted
-      changeShare(wanted)
-    },
+    setShare: share.declare,
     abort,
     close: () => {
       closed = true
-      clearInterval(regrow)
+      share.close()
       abort()
     }
   }
 }
-
-function isTooManyConnections (thrown: unknown): boolean {
-  return thrown instanceof RequestError && /too many connections/i.test(thrown.message)
-}
--- a/src/mysql-proxy/upstreams/concurrency-limit.ts
+++ b/src/mysql-proxy/upstreams/concurrency-limit.ts
@@ -3,7 +3,7 @@
  * about as long as the fastest recent ones, it grows; when they take longer, they queue at the upstream and it shrinks.
  */
 
-/** Weight of a new sample in the running mean. */
+/** Weight of a new sample in the running mean; chosen, not measured, like the other figures here. */
 const SAMPLE_WEIGHT = 0.1
 /** Statements whose mean is one candidate for the fastest latency; a single one may be a stroke of luck. */
 const BATCH_SAMPLES = 8
@@ -16,14 +16,14 @@
 /** Most the limit shrinks by in one step. */
 const SMALLEST_GRADIENT = 0.5
 
-/** Follows latency and says how much may be in progress. */
+/** Follows latency and limits how much may be in progress. */
 interface ConcurrencyLimit {
-  /** Statements that may be in progress now. */
+  /** Statements that may be in progress. */
   readonly current: number
   /** Mean time of a statement, in milliseconds. */
   readonly meanMs: number
   /**
-   * Takes the latency of a statement.
+   * Records the latency of a statement.
    *
    * @param latencyMs - its latency, in milliseconds
    */
--- a/src/mysql-proxy/upstreams/data-age.ts
+++ b/src/mysql-proxy/upstreams/data-age.ts
@@ -4,7 +4,7 @@
  */
 import { comparePositions, meetsFloor, type LogPosition } from '../../positions/position.ts'
 
-/** Probes of the primary that are remembered. */
+/** Probes of the primary that are kept; chosen, not measured. */
 const REMEMBERED_PROBES = 128
 
 /** A probe of the primary. */
@@ -13,11 +13,11 @@
   end: LogPosition
 }
 
-/** Remembers probes of the primary and what replicas have reached. */
+/** Keeps probes of the primary and what replicas have reached. */
 export interface DataAge {
-  /** Takes a probe of the primary. */
+  /** Records a probe of the primary. */
   primarySeen: (sentAt: number, end: LogPosition) => void
-  /** Takes where a replica's log ended. */
+  /** Records where a replica's log ended. */
   replicaSeen: (replica: string, end: LogPosition) => void
   /**
    * Returns the age of a replica's data.
--- a/src/mysql-proxy/upstreams/deadline-queue.ts
+++ b/src/mysql-proxy/upstreams/deadline-queue.ts
@@ -1,4 +1,6 @@
-/** Queues tasks that are not started any more once their deadline has passed. */
+/**
+ * Queues tasks, each with a deadline after which it is not started. Owns nothing; relies on `p-queue` for the order.
+ */
 import type PQueue from 'p-queue'
 import { toRequestError } from '../../core/errors/index.ts'
 import type { Deadline } from '../../core/time/deadline.ts'
--- a/src/mysql-proxy/upstreams/group-pools.ts
+++ b/src/mysql-proxy/upstreams/group-pools.ts
@@ -1,4 +1,4 @@
-/** The connection pools of one home to all upstreams of a group, each with its share. */
+/** The connection pools of one home to all upstreams of a group, each with its share. Owns the pools. */
 import type { Group } from '../../core/config/index.ts'
 import type { Dialer } from '../../core/wire/dialer.ts'
 import { createConnectionPool, type ConnectionPool } from './connection-pool.ts'
@@ -6,7 +6,7 @@
 /** Pools by the name of the upstream. */
 interface GroupPools {
   readonly byName: Map<string, ConnectionPool>
-  /** Takes over changed declarations. */
+  /** Replaces the declarations. */
   update: (group: Group) => void
   /** Breaks the connections to all upstreams but one. */
   abortAllBut: (upstream: string) => void
--- a/src/mysql-proxy/upstreams/group-view-types.ts
+++ b/src/mysql-proxy/upstreams/group-view-types.ts
@@ -1,10 +1,10 @@
-/** Types of the view of a database group. */
+/** Types of the view of a database group (`group-view.ts`). */
 import type { Group, UpstreamDeclaration } from '../../core/config/index.ts'
 import type { RequestError } from '../../core/errors/index.ts'
 import type { Dialer } from '../../core/wire/dialer.ts'
 import type { StatusChannel } from './status-channel.ts'
 
-/** Who leads a group. */
+/** Leadership of a group. */
 export interface Leadership {
   term: number
   /** Name of the primary. */
@@ -28,10 +28,10 @@
   dialer: Dialer
   /** Time a status question may take, in milliseconds. */
   statusTimeoutMs: number
-  /** Told of every status question that an upstream did not answer. */
+  /** Called with every status question that an upstream did not answer. */
   onFailure?: (upstream: string, error: RequestError) => void
-  /** Told when an upstream stops answering. */
+  /** Called when an upstream stops answering. */
   onUnreachable?: (upstream: string, reason: string) => void
-  /** Told when a new term is seen. */
+  /** Called when a new term is seen. */
   onLeadership?: (leadership: Leadership) => void
 }
--- a/src/mysql-proxy/upstreams/group-view.ts
+++ b/src/mysql-proxy/upstreams/group-view.ts
@@ -1,25 +1,23 @@
 /**
- * One process's view of one database group: who leads, in which term, how far each log reaches, how old each replica's
- * data is, and who does not answer.
+ * One process's view of one database group: which upstream leads in which term, how far each log reaches, how old each
+ * replica's data is, and which upstream does not answer. Owns the status channels; relies on `primary-search.ts` and
+ * `majority.ts`.
  */
 import type { Group, UpstreamDeclaration } from '../../core/config/index.ts'
 import { RequestError } from '../../core/errors/index.ts'
-import { pause, type Deadline } from '../../core/time/deadline.ts'
+import type { Deadline } from '../../core/time/deadline.ts'
 import { createDataAge, type DataAge } from './data-age.ts'
+import { alignUpstreams } from './declared-upstreams.ts'
 import { laterPosition, LOG_START, majorityOf, meetsFloor, type LogPosition } from '../../positions/position.ts'
 import type { GroupViewOptions, Leadership, UpstreamView } from './group-view-types.ts'
+import { askUntilMajority, waitForReplicas } from './majority.ts'
+import { createPrimarySearch } from './primary-search.ts'
 import { createStatusChannel, type ObservedStatus } from './status-channel.ts'
-import { logEnd, type UpstreamStatus } from './status.ts'
+import { logEnd } from './status.ts'
 
 export type { GroupViewOptions, Leadership, UpstreamView } from './group-view-types.ts'
 
-/** Pause between two looks for a new primary, in milliseconds. */
-const RECOVERY_PAUSE_MS = 15
-/** The same once the group has been without a primary for long. */
-const LONG_RECOVERY_PAUSE_MS = 150
-/** Looks after which a group counts as long without a primary. */
-const QUICK_LOOKS = 150
-/** How long a caller is told to stay away while no primary is known, in milliseconds. */
+/** Time after which a caller should come back while no primary is known, in milliseconds; chosen, not measured. */
 const NO_PRIMARY_RETRY_MS = 250
 
 /** A process's view of a group. */
@@ -29,13 +27,17 @@
   readonly age: DataAge = createDataAge()
   /** Everything up to here is known to be on a majority. */
   acknowledged: LogPosition = LOG_START
-  /** Who leads, as far as known. */
+  /** The leadership, as far as known. */
   leadership: Leadership = { term: 0, primary: '' }
 
   private group: Group
   private readonly options: GroupViewOptions
-  private readonly leadershipWaiters = new Set<() => void>()
-  private recovering = false
+  private readonly search = createPrimarySearch({
+    isNeeded: () => !this.closed && this.usablePrimary === undefined,
+    // Failed questions are reported by `onFailure` of the channel.
+    askAll: () => this.upstreams.forEach(({ channel }) => { channel.fresh().catch(() => {}) })
+  })
+
   private refreshing = false
   private closed = false
 
@@ -63,33 +65,17 @@
   }
 
   /**
-   * Takes over changed declarations.
+   * Replaces the declarations.
    *
-   * @param group - the group as now declared
+   * @param group - the declarations in force
    */
   update (group: Group): void {
     this.group = group
-    const declared = new Set(group.upstreams.map((upstream) => upstream.name))
-    for (const [name, view] of this.upstreams) {
-      if (!declared.has(name)) {
-        view.channel.close()
-        this.upstreams.delete(name)
-      }
-    }
-    group.upstreams.forEach((declaration) => {
-      const known = this.upstreams.get(declaration.name)
-      const moved = known?.declaration.address !== declaration.address || known.declaration.port !== declaration.port
-      if (known === undefined || moved) {
-        known?.channel.close()
-        this.addUpstream(declaration)
-        return
-      }
-      known.declaration = declaration
-    })
+    alignUpstreams(this.upstreams, group.upstreams, (declaration) => this.addUpstream(declaration))
   }
 
   /**
-   * Says whether an upstream may take new work.
+   * Decides whether an upstream may take new work.
    *
    * @param name - its name
    * @returns false while it leaves or does not answer
@@ -100,17 +86,15 @@
   }
 
   /**
-   * Says whether an upstream is leaving, by declaration, its own status or a peer's word.
+   * Decides whether an upstream is leaving, by its declaration or its own status.
    *
    * @param name - its name
    * @returns whether it is
    */
   isLeaving (name: string): boolean {
     const view = this.upstreams.get(name)
-    if (view === undefined || view.declaration.state === 'draining') {
-      return true
-    }
-    return this.group.duties.draining === 'act' && view.channel.latest?.status.leaving === true
+    const reportsLeaving = this.group.duties.draining === 'act' && view?.channel.latest?.status.leaving === true
+    return view === undefined || view.declaration.state === 'draining' || reportsLeaving
   }
 
   /**
@@ -125,12 +109,12 @@
   }
 
   /**
-   * Takes word of a new leadership from a keeper or another proxy.
+   * Records a new leadership that a keeper announced.
    *
    * @param leadership - term and primary
    */
   announce (leadership: Leadership): void {
-    if (leadership.term <= this.leadership.term || !this.upstreams.has(leadership.primary)) {
+    if (!this.isNewer(leadership)) {
       return
     }
     this.upstreams.get(leadership.primary)!.reachable = true
@@ -150,19 +134,17 @@
       if (view !== undefined) {
         return { view, term: this.leadership.term }
       }
-      void this.recover()
+      this.search.start()
       if (deadline.passed) {
         break
       }
-      await this.waitForLeadership(deadline)
+      await this.search.wait(deadline)
     }
-    throw new RequestError('not-run', 'NoUpstream', {
-      group: this.name, reason: 'no primary is known', retryAfterMs: NO_PRIMARY_RETRY_MS
-    })
+    throw this.noUpstream('no primary is known')
   }
 
   /**
-   * Takes note that an upstream did not answer.
+   * Records that an upstream did not answer.
    *
    * @param name - its name
    * @param reason - what happened
@@ -176,7 +158,7 @@
       view.reachable = false
       this.options.onUnreachable?.(name, reason)
     }
-    void this.recover()
+    this.search.start()
   }
 
   /**
@@ -187,25 +169,10 @@
    * @throws RequestError `NoUpstream` with verdict `not-run`
    */
   async askMajority (deadline: Deadline): Promise<ObservedStatus[]> {
-    const answers: ObservedStatus[] = []
-    const enough = new Promise<void>((resolve, reject) => {
-      let failures = 0
-      for (const { channel } of this.upstreams.values()) {
-        channel.fresh().then((observed) => {
-          answers.push(observed)
-          if (answers.length === this.majority) {
-            resolve()
-          }
-        }, () => {
-          failures++
-          if (failures > this.upstreams.size - this.majority) {
-            reject(this.noMajority())
-          }
-        })
-      }
-    })
-    await deadline.race(enough, 'not-run', 'asking a majority of upstreams')
-    return answers.slice(0, this.majority)
+    const channels = [...this.upstreams.values()].map(({ channel }) => channel)
+    const asked = askUntilMajority(channels, this.majority, () =>
+      this.noUpstream('a majority of the upstreams does not answer'))
+    return await deadline.race(asked, 'not-run', 'asking a majority of upstreams')
   }
 
   /** Asks all upstreams in the background, so that ages and positions are known. */
@@ -235,7 +202,8 @@
       return true
     }
     const needed = this.majority - 1
-    if (needed > 0 && !await this.waitForReplicas(place, source, needed, deadline)) {
+    const replicas = [...this.upstreams].filter(([name]) => name !== source).map(([, { channel }]) => channel)
+    if (needed > 0 && !await waitForReplicas(replicas, { place, needed, deadline })) {
       return false
     }
     this.acknowledged = laterPosition(this.acknowledged, place)
@@ -262,7 +230,7 @@
   close (): void {
     this.closed = true
     this.upstreams.forEach((view) => view.channel.close())
-    this.wakeWaiters()
+    this.search.wake()
   }
 
   private addUpstream (declaration: UpstreamDeclaration): void {
@@ -286,14 +254,16 @@
     if (view === undefined) {
       return
     }
-    this.learnLeadership(status)
+    if (this.isNewer(status)) {
+      this.changeLeadership({ term: status.term, primary: status.primary })
+    }
     if (name === this.leadership.primary && status.fencedTerm > this.leadership.term) {
       view.deposed = true
-      void this.recover()
+      this.search.start()
     }
     if (!view.reachable) {
       view.reachable = true
-      this.wakeWaiters()
+      this.search.wake()
     }
     const leads = name === this.leadership.primary && status.term === this.leadership.term && status.role === 'primary'
     if (leads) {
@@ -303,93 +273,27 @@
     }
   }
 
-  private learnLeadership (status: UpstreamStatus): void {
-    if (status.term <= this.leadership.term || !this.upstreams.has(status.primary)) {
-      return
-    }
-    this.changeLeadership({ term: status.term, primary: status.primary })
+  /** A higher term supersedes the known one; it counts once its primary is declared. */
+  private isNewer ({ term, primary }: Leadership): boolean {
+    return term > this.leadership.term && this.upstreams.has(primary)
   }
 
   private changeLeadership (leadership: Leadership): void {
     this.leadership = leadership
     this.upstreams.forEach((view) => { view.deposed = false })
     this.options.onLeadership?.(leadership)
-    this.wakeWaiters()
+    this.search.wake()
   }
 
   private async refreshAll (): Promise<void> {
     const primary = this.upstreams.get(this.leadership.primary)
+    // A failure is reported by `onFailure` of the channel; the replicas are asked all the same.
     await primary?.channel.fresh().catch(() => {})
     const others = this.replicaNames.map(async (name) => await this.upstreams.get(name)!.channel.fresh())
     await Promise.allSettled(others)
   }
 
-  /** Looks for a primary until one answers; one look at a time. */
-  private async recover (): Promise<void> {
-    if (this.recovering) {
-      return
-    }
-    this.recovering = true
-    for (let looks = 0; !this.closed && this.usablePrimary === undefined; looks++) {
-      this.upstreams.forEach(({ channel }) => { channel.fresh().catch(() => {}) })
-      await pause(looks < QUICK_LOOKS ? RECOVERY_PAUSE_MS : LONG_RECOVERY_PAUSE_MS)
-    }
-    this.recovering = false
+  private noUpstream (reason: string): RequestError {
+    return new RequestError('not-run', 'NoUpstream', { group: this.name, reason, retryAfterMs: NO_PRIMARY_RETRY_MS })
   }
-
-  private async waitForReplicas (
-    place: LogPosition, source: string, needed: number, deadline: Deadline
-  ): Promise<boolean> {
-    const replicas = [...this.upstreams.keys()].filter((name) => name !== source)
-    if (replicas.length < needed) {
-      return false
-    }
-    return await new Promise<boolean>((resolve) => {
-      let reached = 0
-      let pending = 0
-      for (const name of replicas) {
-        pending++
-        const { channel } = this.upstreams.get(name)!
-        const settled = (status: UpstreamStatus): boolean => status.term > place.term || holds(status, place)
-        void channel.waitUntil(settled, deadline).then((observed) => {
-          pending--
-          if (observed !== undefined && holds(observed.status, place)) {
-            reached++
-          }
-          if (reached === needed) {
-            resolve(true)
-          } else if (reached + pending < needed) {
-            resolve(false)
-          }
-        })
-      }
-    })
-  }
-
-  private async waitForLeadership (deadline: Deadline): Promise<void> {
-    await new Promise<void>((resolve) => {
-      const wake = (): void => {
-        clearTimeout(timer)
-        this.leadershipWaiters.delete(wake)
-        resolve()
-      }
-      const timer = setTimeout(wake, deadline.leftMs)
-      this.leadershipWaiters.add(wake)
-    })
-  }
-
-  private wakeWaiters (): void {
-    [...this.leadershipWaiters].forEach((wake) => wake())
-  }
-
-  private noMajority (): RequestError {
-    return new RequestError('not-run', 'NoUpstream', {
-      group: this.name, reason: 'a majority of the upstreams does not answer', retryAfterMs: NO_PRIMARY_RETRY_MS
-    })
-  }
-}
-
-/** A replica counts only in the term of the record: its log is then the primary's up to its end. */
-function holds (status: UpstreamStatus, place: LogPosition): boolean {
-  return status.term === place.term && status.logTerm === place.term && status.position >= place.position
 }
--- a/src/mysql-proxy/upstreams/manual-commit.ts
+++ b/src/mysql-proxy/upstreams/manual-commit.ts
@@ -1,6 +1,7 @@
 /**
  * How statements run on a primary: with autocommit off, so that the statement opens its transaction and one call
- * commits it, enters its key and tells where the log then ends. It is two round trips for any statement, and no BEGIN.
+ * commits it, enters its key and returns where the log then ends. It is two round trips for any statement, and no
+ * BEGIN.
  */
 import type { Client } from '../../mysql/client.ts'
 
--- a/src/mysql-proxy/upstreams/status.ts
+++ b/src/mysql-proxy/upstreams/status.ts
@@ -1,4 +1,4 @@
-/** What an upstream says of itself when asked. */
+/** The status that an upstream reports of itself. */
 import * as z from 'zod'
 import { readNamedRows } from '../../mysql/named-rows.ts'
 import type { RowsAnswer } from '../../mysql/types.ts'
@@ -23,7 +23,7 @@
   leaving: z.coerce.number().transform((flag) => flag !== 0)
 })
 
-/** What an upstream says of itself. */
+/** Status of an upstream. */
 export type UpstreamStatus = z.infer<typeof upstreamStatusSchema>
 
 /**
--- a/src/mysql/connection-lost.ts
+++ b/src/mysql/connection-lost.ts
@@ -30,3 +30,15 @@
   const cause = error instanceof AggregateError ? undefined : CAUSES[error.code ?? '']
   return cause ?? 'other'
 }
+
+/**
+ * Decides whether an upstream had no room for a connection. Read from the text, since a reply over a peer link carries
+ * entry, details and verdict, and no further cause.
+ *
+ * @param error - the error
+ * @returns whether it had none
+ */
+export function isTooManyConnections (error: unknown): boolean {
+  return error instanceof RequestError && error.entry === 'ConnectionLost' &&
+    /too many connections/i.test(error.message)
+}
