--- a/eslint.config.js
+++ b/eslint.config.js
@@ -12,5 +12,12 @@
       'max-lines': ['error', { max: 420, skipBlankLines: true, skipComments: true }],
       '@stylistic/max-len': ['error', { code: 120, ignoreStrings: true, ignoreTemplateLiterals: true }]
     }
+  },
+  {
+    files: ['src/**/*.ts', 'platform/**/*.ts', 'bench/**/*.ts'],
+    rules: {
+      'max-lines': ['error', { max: 300 }],
+      'max-lines-per-function': ['error', { max: 80 }]
+    }
   }
 ]
--- a/test/entry/pools/statement-queue.test.ts
+++ b/test/entry/pools/statement-queue.test.ts
@@ -112,7 +112,8 @@
 
   it('refuses at once when what goes before takes longer than the wait, and says when to come back', async () => {
     const statementQueue = createStatementQueue({ group: 'g', upstream: 'u', limits: () => ({ slots: 1, homes: 1 }) })
-    const enter = async (waitMs: number): Promise<() => void> => await statementQueue.enter({ priority: 1, costMs: 100, waitMs })
+    const enter = async (waitMs: number): Promise<() => void> =>
+      await statementQueue.enter({ priority: 1, costMs: 100, waitMs })
     await enter(1000)
     await enter(1000)
     for (let count = 0; count < 3; count++) {
