--- a/src/core/config/entry-settings.ts
+++ b/src/core/config/entry-settings.ts
@@ -46,7 +46,7 @@
     windowSeconds: optionalNumber(5),
     /**
      * What the count in such a span may exceed a limit by: a part of it, and a number of operations. Callers get a
-     * quarter of the part and half of the operations; the rest makes up for hosts that cannot tell each other what they
+     * quarter of the part and half of the operations; the rest makes up for hosts that cannot exchange what they
      * have granted.
      */
     tolerance: z.strictObject({ part: optionalNumber(0), operations: optionalNumber(0) }).prefault({})
--- a/src/mysql-proxy/ledger/ledger-sweeper.ts
+++ b/src/mysql-proxy/ledger/ledger-sweeper.ts
@@ -45,7 +45,9 @@
     const answer = await pool.run(request, async (client) => {
       await useManualCommit(client, false, deadline.leftMs)
       return await client.run(callProcedure('sweep', [before, SWEEP_KEYS]), deadline.leftMs, 'may-have-run')
-    }).catch(() => EMPTY_ANSWER)
+    })
+      // The next sweep takes what this one left; the pool has recorded the failure of its upstream.
+      .catch(() => EMPTY_ANSWER)
     return answer.type === 'done' ? answer.affectedRows : 0
   }
   const sweepAll = async (): Promise<void> => {
