--- a/src/emulation/load/experiment.ts
+++ b/src/emulation/load/experiment.ts
@@ -31,7 +31,6 @@
   /** Reads served by replicas and by the primary, as the proxies counted them. */
   readsOnReplicas: number
   readsOnPrimary: number
-  retries: number
 }
 
 const SETTLE_MS = 50
@@ -74,8 +73,7 @@
       violations: checkHistory(history),
       faults,
       readsOnReplicas: counts.reduce((sum, { readsOnReplicas }) => sum + readsOnReplicas, 0),
-      readsOnPrimary: counts.reduce((sum, { readsOnPrimary }) => sum + readsOnPrimary, 0),
-      retries: counts.reduce((sum, { retries }) => sum + retries, 0)
+      readsOnPrimary: counts.reduce((sum, { readsOnPrimary }) => sum + readsOnPrimary, 0)
     }
   } finally {
     await deployment.close()
--- a/src/emulation/standin/replication-log.ts
+++ b/src/emulation/standin/replication-log.ts
@@ -1,5 +1,5 @@
 /** The log of one stand-in upstream. */
-import { comparePositions, LOG_START, type LogPosition } from '../../positions/position.ts'
+import { LOG_START, type LogPosition } from '../../positions/position.ts'
 import type { Statement } from '../../mysql/types.ts'
 
 /** One committed change, or the start of a term when it has no statements. */
@@ -80,16 +80,6 @@
     this.last = other.last
   }
 
-  /**
-   * Says whether the log reaches a place.
-   *
-   * @param place - the place
-   * @returns whether it does
-   */
-  reaches (place: LogPosition): boolean {
-    return comparePositions(this.last, place) >= 0
-  }
-
   private termAt (position: number): number {
     return this.termStarts.findLast((start) => start.position <= position)?.term ?? 0
   }
--- a/src/mysql-proxy/routing/placement-cache.ts
+++ b/src/mysql-proxy/routing/placement-cache.ts
@@ -28,8 +28,6 @@
    * @param members - the members
    */
   update: (members: Member[]) => void
-  /** Placements that are kept. */
-  readonly size: number
 }
 
 /**
@@ -57,7 +55,6 @@
   })
 
   return {
-    get size () { return kept.size },
     place: (group, count) => {
       const known = kept.get(group)
       if (known?.count === count) {
--- a/src/mysql/client-handler.ts
+++ b/src/mysql/client-handler.ts
@@ -26,7 +26,6 @@
   database: string
   /** Connection attributes the client sent. */
   attributes: Record<string, string>
-  remoteAddress: string
   /** Ends the connection once the command in progress is answered. */
   end: () => void
   /** Ends the connection at once. */
--- a/src/mysql/client.ts
+++ b/src/mysql/client.ts
@@ -40,8 +40,6 @@
    * @throws RequestError `StatementFailed`, `ConnectionLost` or `DeadlineExceeded`
    */
   run: (statement: Statement, timeoutMs: number, lostVerdict: Verdict) => Promise<Answer>
-  /** Clears transaction, variables and prepared statements. */
-  reset: (timeoutMs: number) => Promise<void>
   /** Ends the connection at once. */
   close: () => void
   /** Called once when the connection is no longer usable. */
@@ -154,9 +152,6 @@
     get usable () { return usable },
     run: async (statement, timeoutMs, lostVerdict) =>
       await withTimeout<Answer>(timeoutMs, lostVerdict, (done) => startStatement(connection, statement, done)),
-    reset: async (timeoutMs) => {
-      await withTimeout<void>(timeoutMs, 'not-run', (done) => connection.reset((error) => done(error)))
-    },
     close: giveUp,
     onClose: (listener) => { usable ? listeners.push(listener) : listener() }
   }
--- a/src/mysql/serve-client.ts
+++ b/src/mysql/serve-client.ts
@@ -27,7 +27,6 @@
       user: credentials.user,
       database: credentials.database,
       attributes: connection.clientHelloReply?.connectAttributes ?? {},
-      remoteAddress: connection.stream.remoteAddress ?? '',
       end: queue.finishWhenIdle,
       destroy: () => connection.stream.destroy()
     })
