--- a/src/entry/requests/acquire-connection.ts
+++ b/src/entry/requests/acquire-connection.ts
@@ -1,41 +1,41 @@
-/** Waits for a turn at an upstream and for a connection to it; `wait-rules.ts` decides for how long. */
+/** Acquires an execution slot and a pooled connection at an upstream. `wait-rules.ts` bounds the wait. */
 import type { ConnectionLease, UsedUpstream } from '../pools/index.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 import { connectionWaitMs } from './wait-rules.ts'
 
-/** A connection whose user has its turn at the upstream. */
-interface Turn {
+/** A leased connection together with an execution slot in the upstream's queue. */
+interface AcquiredConnection {
   lease: ConnectionLease
-  /** Ends the turn; the connection may be kept for a transaction. */
-  leave: () => void
+  /** Frees the slot. The lease stays valid, so that a transaction can keep its connection. */
+  releaseSlot: () => void
 }
 
 /**
- * Waits for a turn and a connection, and measures the wait.
+ * Waits for a slot and a connection, and records the wait in the metrics.
  *
- * @param context - the rest of the process
- * @param scope - the request
- * @param used - the upstream
- * @param greatestWaitMs - greatest wait, in milliseconds
- * @returns the turn and the connection
+ * @param context - services of the entry process
+ * @param scope - the current request
+ * @param resources - pool and queue of the upstream
+ * @param maximumWaitMs - maximum wait, in milliseconds
+ * @returns the lease and the slot
  * @throws RequestError with verdict `not-run`
  */
 export async function acquireConnection (
-  { measures }: Pick<EntryContext, 'measures'>, { organisation, values, priority, costMs, inTimeUntil }: RequestScope,
-  { pool, queue }: UsedUpstream, greatestWaitMs: number
-): Promise<Turn> {
+  { metrics }: Pick<EntryContext, 'metrics'>, { organisation, values, priority, costMs, softDeadline }: RequestScope,
+  { pool, queue }: UsedUpstream, maximumWaitMs: number
+): Promise<AcquiredConnection> {
   const startedAt = performance.now()
-  const waitMs = connectionWaitMs(greatestWaitMs, inTimeUntil - startedAt)
-  let leave = (): void => {}
+  const waitMs = connectionWaitMs(maximumWaitMs, softDeadline - startedAt)
+  let releaseSlot = (): void => {}
   try {
-    leave = await queue.enter({ priority, costMs, waitMs })
+    releaseSlot = await queue.enter({ priority, costMs, waitMs })
     const leftMs = Math.max(1, waitMs - (performance.now() - startedAt))
     const lease = await pool.acquire({ organisation, values, priority, waitMs: leftMs })
-    measures.queue('done', performance.now() - startedAt)
-    return { lease, leave }
+    metrics.queue('done', performance.now() - startedAt)
+    return { lease, releaseSlot }
   } catch (thrown) {
-    leave()
-    measures.queue('failed', performance.now() - startedAt)
+    releaseSlot()
+    metrics.queue('failed', performance.now() - startedAt)
     throw thrown
   }
 }
--- a/src/entry/requests/answers.ts
+++ b/src/entry/requests/answers.ts
@@ -1,25 +1,25 @@
-/** Answers that worksward gives by itself, and the translation of errors to answers. */
+/** Answers that worksward creates itself, and the failures that errors map to. */
 import { RequestError, toRequestError, type ErrorName } from '../../core/errors/index.ts'
 import type { FailureKind, StatementAnswer, TransactionState } from '../ports/index.ts'
 
-/** Answers a statement that succeeded without an upstream. */
+/** Creates the answer to a statement that succeeded without an upstream. */
 export function doneAnswer (state: TransactionState): StatementAnswer {
   return { rows: [], state }
 }
 
 /**
- * Answers with a failure.
+ * Creates an answer that reports a failure.
  *
- * @param kind - the failure
- * @param message - what happened, and when to come back
- * @param state - where the session stands afterwards
+ * @param kind - kind of the failure
+ * @param message - explanation for the caller
+ * @param state - transaction state of the session after the statement
  * @returns the answer
  */
 export function failureAnswer (kind: FailureKind, message: string, state: TransactionState): StatementAnswer {
   return { rows: [], failure: { kind, message }, state }
 }
 
-/** Failures of statements that were certainly not run, by the error that says so. */
+/** Failure kinds of errors with verdict `not-run`; all other errors map to `busy`. */
 const NOT_RUN_KINDS: Partial<Record<ErrorName, FailureKind>> = {
   UnknownGroup: 'unknown-database',
   UnknownKey: 'unknown-key',
@@ -27,19 +27,19 @@
 }
 
 /**
- * Returns the failure that an error means for a caller.
+ * Maps an error to the failure that the caller receives.
  *
  * @param thrown - the error
- * @param keepsNothing - whether nothing of the attempt can be kept, whatever has run: it has only read so far
- * @returns kind and message
+ * @param hasNoEffect - whether the request leaves no lasting effect even if it has run, so that it is never in doubt
+ * @returns kind and message of the failure
  */
-export function failureOf (thrown: unknown, keepsNothing: boolean): NonNullable<StatementAnswer['failure']> {
+export function failureOf (thrown: unknown, hasNoEffect: boolean): NonNullable<StatementAnswer['failure']> {
   const error: RequestError = toRequestError(thrown, 'may-have-run')
   const message = error.message.replace(/[\r\n]+/g, ' ')
   if (error.verdict === 'not-run') {
     return { kind: NOT_RUN_KINDS[error.entry] ?? 'busy', message }
   }
-  if (!keepsNothing) {
+  if (!hasNoEffect) {
     return { kind: 'in-doubt', message }
   }
   return { kind: error.entry === 'DeadlineExceeded' ? 'timeout' : 'aborted', message }
--- a/src/entry/requests/attempt.ts
+++ b/src/entry/requests/attempt.ts
@@ -1,28 +1,29 @@
-/** One attempt of a single statement, and its outcome in the terms of `retry-rules.ts`. */
+/** Runs one attempt of a single statement and converts its outcome to the input of `retry-rules.ts`. */
 import { describeThrown, toRequestError, type RequestError } from '../../core/errors/index.ts'
 import type { StatementAnswer } from '../ports/index.ts'
 import { recordAnswer } from './record-answer.ts'
 import type { RetryCause } from './retry-rules.ts'
 import type { StatementExecutor } from './statement-executor.ts'
-import type { DataWork, EntryContext, RequestScope } from './types.ts'
+import type { ExecutableStatement, EntryContext, RequestScope } from './types.ts'
 
-/** Outcome of an attempt: the upstream's answer, or why there is none. */
+/** Outcome of an attempt: the upstream's answer, or the error that prevented one. */
 type AttemptOutcome = { answer: StatementAnswer } | { error: RequestError, reason: string }
 
 /**
- * Runs a statement once and records what its answer shows.
+ * Runs a statement once and records the position and the cost that its answer reports.
  *
- * @param context - the rest of the process
- * @param scope - the request
- * @param work - the statement
- * @param executor - where it runs; it is released afterwards
+ * @param context - services of the entry process
+ * @param scope - the current request
+ * @param statement - the statement
+ * @param executor - executor to run it on; released afterwards
  * @returns the outcome; never rejects
  */
 export async function attemptStatement (
-  context: Pick<EntryContext, 'freshness' | 'costs'>, scope: RequestScope, work: DataWork, executor: StatementExecutor
+  context: Pick<EntryContext, 'freshness' | 'costs'>, scope: RequestScope, statement: ExecutableStatement,
+  executor: StatementExecutor
 ): Promise<AttemptOutcome> {
   try {
-    const timed = await executor.runSingle(scope, work, work.access === 'read')
+    const timed = await executor.runSingle(scope, statement, statement.access === 'read')
     recordAnswer(context, scope, timed)
     return { answer: timed.answer }
   } catch (thrown) {
@@ -34,7 +35,7 @@
  * Returns why an attempt failed.
  *
  * @param outcome - outcome of the attempt
- * @returns the cause; undefined when it succeeded
+ * @returns the cause; undefined if the attempt succeeded
  */
 export function failureCauseOf (outcome: AttemptOutcome): RetryCause | undefined {
   if ('error' in outcome) {
@@ -45,11 +46,11 @@
 }
 
 /**
- * Returns the answer that the caller gets when the statement is not repeated.
+ * Returns the caller's answer to a statement that is not retried.
  *
  * @param outcome - outcome of the last attempt
  * @returns the answer
- * @throws RequestError of an attempt that has none
+ * @throws RequestError if the attempt got no answer
  */
 export function finalAnswerOf (outcome: AttemptOutcome): StatementAnswer {
   if ('error' in outcome) {
--- a/src/entry/requests/begin-transaction.ts
+++ b/src/entry/requests/begin-transaction.ts
@@ -1,58 +1,58 @@
 /**
- * Begins a transaction at an upstream together with its first step. A beginning that fails has kept nothing, so it is
- * tried again, elsewhere where that may help; `retry-rules.ts` decides how often.
+ * Begins a transaction at an upstream together with its first step. A failed begin has no lasting effect, so it is
+ * retried as `retry-rules.ts` decides.
  */
 import { RequestError, toRequestError } from '../../core/errors/index.ts'
 import { pause } from '../../core/time/deadline.ts'
-import { executorAtPrimary } from './primary-access.ts'
-import { executorForRead, type ReadContext, type ReadPlace } from './reads.ts'
+import { acquirePrimaryExecutor } from './primary-access.ts'
+import { acquireReadExecutor, type ReadContext, type ReadConstraint } from './reads.ts'
 import { recordAnswer, recordLag } from './record-answer.ts'
-import { decideBegin, NOT_RUN_PAUSE_MS, retryReason, type RetryCause } from './retry-rules.ts'
-import type { Begun, StatementExecutor, TransactionStep } from './statement-executor.ts'
+import { decideBeginRetry, RETRY_PAUSE_MS, retryReason, type RetryCause } from './retry-rules.ts'
+import type { BeginResult, StatementExecutor, TransactionStep } from './statement-executor.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
-/** What beginning a transaction needs from the rest of the process. */
+/** Services needed to begin a transaction. */
 export type BeginContext = ReadContext & Pick<EntryContext, 'costs'>
 
-/** Which transaction is begun. */
+/** The transaction to begin. */
 interface BeginOptions {
   readOnly: boolean
-  /** Where a transaction that only reads may run. */
-  place: ReadPlace
-  /** Its first step. */
+  /** Which upstreams may run a read-only transaction. */
+  constraint: ReadConstraint
+
   step: TransactionStep
 }
 
-/** A transaction that has begun, whatever became of its first step. */
+/** A transaction that has begun; its first step may have failed. */
 interface BegunTransaction {
   executor: StatementExecutor
-  begun: Begun
+  begun: BeginResult
 }
 
 /**
  * Begins a transaction.
  *
- * @param context - the rest of the process
- * @param scope - the request
- * @param options - which transaction
- * @returns the executor that it stays with, and the outcome of its first step
- * @throws RequestError; nothing was begun
+ * @param context - services of the entry process
+ * @param scope - the current request
+ * @param options - the transaction to begin
+ * @returns the executor that holds the transaction, and the outcome of its first step
+ * @throws RequestError if no transaction has begun
  */
 export async function beginTransaction (
   context: BeginContext, scope: RequestScope, options: BeginOptions
 ): Promise<BegunTransaction> {
-  const tried = new Set<string>()
+  const triedUpstreams = new Set<string>()
   for (;;) {
     const executor = options.readOnly
-      ? await executorForRead(context, scope, options.place, tried)
-      : await executorAtPrimary(context, scope)
-    const { upstream } = executor.known
+      ? await acquireReadExecutor(context, scope, options.constraint, triedUpstreams)
+      : await acquirePrimaryExecutor(context, scope)
+    const { upstream } = executor.target
     const outcome = await attemptBegin(context, scope, executor, options)
     if ('begun' in outcome) {
       return { executor, begun: outcome.begun }
     }
     const { cause, error } = outcome
-    const decision = decideBegin(cause, {
+    const decision = decideBeginRetry(cause, {
       attempts: scope.attempts, deadlinePassed: scope.deadline.passed, throughHome: executor.home !== undefined
     })
     if (decision.action === 'repeat' || cause.type === 'failure') {
@@ -62,29 +62,29 @@
     if (decision.action === 'give-up') {
       throw error
     }
-    if (decision.elsewhere) {
-      tried.add(upstream)
+    if (decision.excludeUpstream) {
+      triedUpstreams.add(upstream)
     }
     await pause(decision.pauseMs)
   }
 }
 
-/** Outcome of one attempt; with an error nothing was begun. */
-type BeginOutcome = { begun: Begun } | { cause: RetryCause, error: RequestError }
+/** Outcome of one attempt; after an error no transaction is open. */
+type BeginOutcome = { begun: BeginResult } | { cause: RetryCause, error: RequestError }
 
 async function attemptBegin (
   context: BeginContext, scope: RequestScope, executor: StatementExecutor, { readOnly, step }: BeginOptions
 ): Promise<BeginOutcome> {
   try {
     const begun = await executor.begin(scope, readOnly, step)
-    recordAnswer(context, scope, begun.begin)
-    recordLag(executor, begun.begin.answer)
-    const { failure } = begun.begin.answer
+    recordAnswer(context, scope, begun.beginAnswer)
+    recordLag(executor, begun.beginAnswer.answer)
+    const { failure } = begun.beginAnswer.answer
     if (failure === undefined) {
       return { begun }
     }
     const error = new RequestError('not-run', 'NoUpstream', {
-      group: scope.group, reason: failure.kind, retryAfterMs: NOT_RUN_PAUSE_MS
+      group: scope.group, reason: failure.kind, retryAfterMs: RETRY_PAUSE_MS
     })
     return { cause: { type: 'failure', kind: failure.kind }, error }
   } catch (thrown) {
--- a/src/entry/requests/caller-route.ts
+++ b/src/entry/requests/caller-route.ts
@@ -1,13 +1,12 @@
 /**
- * Where do a caller's requests go, and on whose behalf? Inputs: the desired state in force, the database and the digest
- * of the key that the caller named. The route of the database, and the organisation that holds the key; a transaction
+ * Resolves a caller's database and key to a route and an organisation, by the desired state in force. A transaction
  * keeps the route with which it began.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import { identify } from '../organisations/identify.ts'
 import type { CallerLink, DesiredState, Organisation, Route } from '../ports/index.ts'
 
-/** Where a caller's requests go, and on behalf of which organisation. */
+/** Route of a caller's requests, and the organisation on whose behalf they run. */
 export interface CallerRoute {
   route: Route
   organisation: Organisation
@@ -16,8 +15,8 @@
 /**
  * Finds the route of a caller's database and the organisation that holds its key.
  *
- * @param state - the desired state in force; undefined while none is known
- * @param caller - the database and the key that the caller named
+ * @param state - the desired state in force; undefined if none is known
+ * @param caller - database and key digest of the caller
  * @returns route and organisation
  * @throws RequestError `UnknownGroup` or `UnknownKey`, with verdict `not-run`
  */
@@ -32,15 +31,15 @@
 }
 
 /**
- * Reports whether a caller's transaction may go on: by the route with which it began, as long as the caller's key is
- * held by the organisation on whose connection it runs. It may last for longer than a change of keys takes to arrive.
+ * Reports whether a caller's transaction may continue. Its organisation must still hold the caller's key, which may
+ * change while the transaction is open.
  *
- * @param state - the desired state in force
+ * @param state - the desired state in force; undefined if none is known
  * @param begun - route and organisation with which the transaction began
- * @param keyDigest - digest of the key that the caller named
- * @returns whether it may
+ * @param keyDigest - digest of the caller's key
+ * @returns true if it may continue
  */
-export function mayGoOn (
+export function mayContinue (
   state: DesiredState | undefined, { route, organisation }: CallerRoute, keyDigest: string
 ): boolean {
   return state === undefined || !route.needsKey || state.keys.get(keyDigest) === organisation.name
--- a/src/entry/requests/choose-upstream.ts
+++ b/src/entry/requests/choose-upstream.ts
@@ -1,41 +1,35 @@
 /**
- * Chooses the upstream for a read.
- *
- * Which one? Inputs: the upstreams of the group that were not tried and are not leaving, and what this host knows of
- * each ({@link ReadCandidate}). The one with the least cost in milliseconds of expected time; of equals the first in
- * the directory.
+ * Chooses the upstream for a read: the one with the lowest cost among those of the group that were not tried yet and
+ * are not draining. The cost is the expected duration in milliseconds plus penalties. The first of equals is taken.
  */
 import type { KnownHost } from '../registry/index.ts'
 import { comparePositions, type LogPosition } from '../../positions/position.ts'
 import type { ChosenUpstream, EntryContext, RequestScope } from './types.ts'
-import { mayTakeWork } from './wait-rules.ts'
+import { acceptsNewWork } from './wait-rules.ts'
 
+/** Penalty for an upstream in another failure domain, in milliseconds; covers latency and the price of the traffic. */
+const CROSS_DOMAIN_COST_MS = 25
 /**
- * Cost of a hop to another failure domain, in milliseconds: a round trip, and the bytes that it carries, which are paid
- * for. Waiting so long behind others is less than a tenth of what routes give for an answer in time.
+ * Penalty for the primary, in milliseconds, which keeps its slots free for writes. Must be less than
+ * {@link CROSS_DOMAIN_COST_MS}, or reads in the primary's failure domain would go to replicas of other domains.
  */
-const OTHER_DOMAIN_MS = 25
+const PRIMARY_COST_MS = 12
+/** Penalty for waiting until a connection is opened or becomes free, in milliseconds. */
+const CONNECTION_WAIT_COST_MS = 25
+/** Penalty if this host has no connection and may not open one, in milliseconds; the wait may take seconds. */
+const FIRST_CONNECTION_COST_MS = 400
 /**
- * Cost of using the primary for a read that a replica can serve, in milliseconds: its slots are needed for writes. Less
- * than a hop to another failure domain, or reads of the primary's own domain would go to replicas of others.
+ * Penalty for a replica that lagged recently and is not known to have reached the required position, in milliseconds.
+ * Exceeds the wait at a busy primary, which the read would need after a failed attempt at the replica.
  */
-const PRIMARY_MS = 12
-/** Cost of a connection that must be opened or waited for, in milliseconds. */
-const NO_ROOM_MS = 25
-/** Cost of an upstream that has no room for a first connection of this host, in milliseconds: it may take seconds. */
-const NO_CONNECTION_MS = 400
-/**
- * Cost of a replica that lagged lately and is not known to have what the read must find, in milliseconds: more than the
- * wait at a busy primary, since trying such replicas first only puts the read behind others there.
- */
-const LAGGING_MS = 400
-/** Cost of an upstream that failed lately, in milliseconds: it comes last. */
-const AVOIDED_MS = 5000
+const LAGGING_COST_MS = 400
+/** Penalty for an upstream that failed recently, in milliseconds; higher than any other cost. */
+const AVOIDED_COST_MS = 5000
 
-/** What the choice needs from the rest of the process. */
+/** Services needed to compare upstreams. */
 type ChoiceContext = Pick<EntryContext, 'directory' | 'pools' | 'homes' | 'leadership' | 'failureDomain' | 'drainMs'>
 
-/** An upstream for a read, and the home through which it is reached; without one this host goes there itself. */
+/** An upstream for a read. Without a home the read runs on a connection of this host. */
 export interface ReadChoice extends ChosenUpstream {
   home?: KnownHost
 }
@@ -43,55 +37,60 @@
 /**
  * Chooses the upstream for a read.
  *
- * @param context - the rest of the process
- * @param scope - the request
- * @param position - what the read must find
- * @param tried - upstreams that have been tried
- * @returns the upstream, and the home through which it is reached; undefined when none is left
+ * @param context - services of the entry process
+ * @param scope - the current request
+ * @param position - log position that the read requires
+ * @param triedUpstreams - upstreams to leave out
+ * @returns the upstream and its home, if any; undefined if no upstream is left
  */
-export function chooseForRead (
+export function chooseReadUpstream (
   context: ChoiceContext, { group, organisation, triedHomes }: RequestScope, position: LogPosition,
-  tried: ReadonlySet<string>
+  triedUpstreams: ReadonlySet<string>
 ): ReadChoice | undefined {
   const primary = context.leadership.primaryOf(group)
   let best: ReadChoice | undefined
   let leastCost = Infinity
-  for (const known of context.directory.ofGroup(group)) {
-    if (tried.has(known.upstream) || known.draining || !mayTakeWork(known, context.drainMs, performance.now())) {
+  for (const target of context.directory.ofGroup(group)) {
+    if (
+      triedUpstreams.has(target.upstream) || target.draining ||
+      !acceptsNewWork(target, context.drainMs, performance.now())
+    ) {
       continue
     }
-    const used = context.pools.of(known)
-    const home = context.homes.choose(known, triedHomes, organisation)
-    const cost = readCostMs(candidateOf(context, { known, used, home }, position, known.upstream === primary))
+    const resources = context.pools.of(target)
+    const home = context.homes.choose(target, triedHomes, organisation)
+    const cost = readCostMs(
+      createCandidate(context, { target, resources, home }, position, target.upstream === primary)
+    )
     if (cost < leastCost) {
-      best = { known, used, home }
+      best = { target, resources, home }
       leastCost = cost
     }
   }
   return best
 }
 
-/** What is known of an upstream that may serve a read. */
+/** Properties of an upstream that determine its cost for a read. */
 export interface ReadCandidate {
-  /** Ordinary time of a statement there, in milliseconds. */
+  /** Average latency of its statements, in milliseconds. */
   latencyMs: number
-  /** Statements that this host runs, queues or forwards there. */
+  /** Number of statements that this host runs, queues or forwards there. */
   busy: number
-  /** Statements that it runs at a time. */
+  /** Number of statements that it runs concurrently. */
   slots: number
   isLocalDomain: boolean
   isPrimary: boolean
-  /** Whether a home carries the read; the connections of this host do not matter then. */
+  /** Whether the read is forwarded to a home, so that this host needs no connection. */
   throughHome: boolean
-  /** Whether this host may open another connection to it, or has an idle one. */
+  /** Whether this host has an idle connection to it or may open another one. */
   hasRoom: boolean
   /** Whether this host has any connection to it. */
   hasConnections: boolean
-  /** Whether it is known to have what the read must find. */
-  hasReached: boolean
-  /** Whether it lagged lately. */
+  /** Whether its log is known to have reached the required position. */
+  hasReachedPosition: boolean
+  /** Whether it lagged recently. */
   lagging: boolean
-  /** Whether it failed lately. */
+  /** Whether it failed recently. */
   avoided: boolean
 }
 
@@ -99,33 +98,34 @@
  * Returns the cost of serving a read at an upstream.
  *
  * @param candidate - the upstream
- * @returns the cost, in milliseconds of expected time
+ * @returns the cost, in milliseconds
  */
 export function readCostMs (candidate: ReadCandidate): number {
-  const { latencyMs, busy, slots, throughHome, hasRoom, hasConnections, lagging, hasReached } = candidate
+  const { latencyMs, busy, slots, throughHome, hasRoom, hasConnections, lagging, hasReachedPosition } = candidate
   return latencyMs * (1 + busy / slots) +
-    (candidate.isLocalDomain ? 0 : OTHER_DOMAIN_MS) +
-    (candidate.isPrimary ? PRIMARY_MS : 0) +
-    (throughHome || hasRoom ? 0 : NO_ROOM_MS) +
-    (throughHome || hasRoom || hasConnections ? 0 : NO_CONNECTION_MS) +
-    (lagging && !hasReached ? LAGGING_MS : 0) +
-    (candidate.avoided ? AVOIDED_MS : 0)
+    (candidate.isLocalDomain ? 0 : CROSS_DOMAIN_COST_MS) +
+    (candidate.isPrimary ? PRIMARY_COST_MS : 0) +
+    (throughHome || hasRoom ? 0 : CONNECTION_WAIT_COST_MS) +
+    (throughHome || hasRoom || hasConnections ? 0 : FIRST_CONNECTION_COST_MS) +
+    (lagging && !hasReachedPosition ? LAGGING_COST_MS : 0) +
+    (candidate.avoided ? AVOIDED_COST_MS : 0)
 }
 
-function candidateOf (
-  { failureDomain, homes }: ChoiceContext, { known, used, home }: ReadChoice, position: LogPosition, isPrimary: boolean
+function createCandidate (
+  { failureDomain, homes }: ChoiceContext, { target, resources, home }: ReadChoice, position: LogPosition,
+  isPrimary: boolean
 ): ReadCandidate {
-  const { health, pool, queue } = used
+  const { health, pool, queue } = resources
   return {
     latencyMs: health.latencyMs,
-    busy: queue.running + queue.waiting + homes.loadOf(known.upstream),
-    slots: known.slots,
-    isLocalDomain: known.failureDomain === failureDomain,
+    busy: queue.running + queue.waiting + homes.loadOf(target.upstream),
+    slots: target.slots,
+    isLocalDomain: target.failureDomain === failureDomain,
     isPrimary,
     throughHome: home !== undefined,
     hasRoom: pool.hasRoom,
     hasConnections: pool.size > 0,
-    hasReached: health.reached !== undefined && comparePositions(health.reached, position) >= 0,
+    hasReachedPosition: health.reached !== undefined && comparePositions(health.reached, position) >= 0,
     lagging: health.lagging,
     avoided: health.avoided
   }
--- a/src/entry/requests/forwarded-steps.ts
+++ b/src/entry/requests/forwarded-steps.ts
@@ -1,36 +1,36 @@
-/** Steps and their answers as they travel between a host and a home; the frames are in `homes/messages.ts`. */
+/** Converts transaction steps and answers to and from the frames between hosts, which `homes/messages.ts` defines. */
 import { RequestError } from '../../core/errors/index.ts'
 import type { HomeReply, Step } from '../homes/index.ts'
 import type { StatementAnswer } from '../ports/index.ts'
 import type { TimedAnswer } from './run-statement.ts'
 import type { TransactionStep } from './statement-executor.ts'
-import type { DataWork } from './types.ts'
+import type { ExecutableStatement } from './types.ts'
 
 /**
- * Encodes a step for a home.
+ * Encodes a step that is forwarded to a home.
  *
  * @param step - the step
- * @returns its part of the frame
+ * @returns the step as it is sent in the frame
  */
 export function encodeStep (step: TransactionStep): Step {
   if (step.type === 'commit') {
     return { type: 'commit', text: step.text }
   }
-  const { work } = step
-  return work.type === 'data'
-    ? { type: 'data', access: work.access, text: work.text }
-    : { type: 'execute', prepared: work.prepared, parameters: work.parameters }
+  const { statement } = step
+  return statement.type === 'data'
+    ? { type: 'data', access: statement.access, text: statement.text }
+    : { type: 'execute', prepared: statement.prepared, parameters: statement.parameters }
 }
 
 /**
- * Decodes a statement that another host forwards.
+ * Decodes a single statement that another host forwards.
  *
  * @param requestId - id of the caller's request
- * @param step - its part of the frame
+ * @param step - the step in the frame
  * @returns the statement
  * @throws RequestError `UnsupportedStatement` for a commit
  */
-export function decodeWork (requestId: string, step: Step): DataWork {
+export function decodeStatement (requestId: string, step: Step): ExecutableStatement {
   if (step.type === 'commit') {
     throw new RequestError('not-run', 'UnsupportedStatement', { reason: 'a commit outside a transaction' })
   }
@@ -43,33 +43,33 @@
  * Decodes a step that another host forwards.
  *
  * @param requestId - id of the caller's request
- * @param step - its part of the frame
- * @returns the step
+ * @param step - the step in the frame
+ * @returns the decoded step
  */
 export function decodeStep (requestId: string, step: Step): TransactionStep {
   return step.type === 'commit'
     ? { type: 'commit', requestId, text: step.text }
-    : { type: 'work', work: decodeWork(requestId, step) }
+    : { type: 'statement', statement: decodeStatement(requestId, step) }
 }
 
 /**
- * Returns an answer that a home reports, timed by this host's clock.
+ * Combines an answer from a home's reply with the time at which this host sent the request.
  *
- * @param sentAt - when the question was sent, on the steady clock
+ * @param sentAt - when the request was sent, on the monotonic clock of this host
  * @param reply - the home's reply
  * @param answer - the answer within the reply
- * @returns the answer
+ * @returns the answer with its times
  */
-export function timedAnswerOf (
+export function toTimedAnswer (
   sentAt: number, { epoch, ranMs = 0 }: HomeReply, answer: NonNullable<HomeReply['answer']>
 ): TimedAnswer {
   return { answer: answer as StatementAnswer, sentAt, epoch, ranMs }
 }
 
 /**
- * Returns the error of a step for which a home reports no answer.
+ * Returns the error of a step whose reply contains no answer.
  *
- * @param upstream - where it was to run
+ * @param upstream - upstream of the step
  * @param reply - the home's reply
  * @returns the error, with the verdict on whether the step may have run
  */
--- a/src/entry/requests/forwarded-transactions.ts
+++ b/src/entry/requests/forwarded-transactions.ts
@@ -1,8 +1,6 @@
 /**
- * Transactions that are open here for other hosts.
- *
- * When does one end? When its host commits it or rolls it back, when it is idle for the time that the desired state
- * allows, when the link to its host breaks, and when this host stops.
+ * Transactions that this host, as a home, holds open for other hosts. One ends when its host commits it or rolls it
+ * back, when it is idle for too long, when the link to its host closes, or when this host stops.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -11,7 +9,7 @@
 import type { StatementAnswer } from '../ports/index.ts'
 import type { StatementExecutor } from './statement-executor.ts'
 import { STOP_POLL_MS } from './stop-sessions.ts'
-import { endTransaction, goesOn } from './transaction-steps.ts'
+import { endTransaction, leavesTransactionOpen } from './transaction-steps.ts'
 import type { RequestScope } from './types.ts'
 
 /** A transaction that is open for another host. */
@@ -25,59 +23,59 @@
 /** Options of {@link createForwardedTransactions}. */
 interface ForwardedTransactionsOptions {
   logger: Logger
-  /** Time for which a transaction may be idle between two steps, in milliseconds. */
+  /** Maximum idle time of a transaction between two steps, in milliseconds. */
   idleMs: () => number
 }
 
-/** The transactions that are open for other hosts. */
+/** Registry of the transactions that are open for other hosts, by number. */
 export interface ForwardedTransactions {
   readonly size: number
-  /** Executor of an open transaction; undefined when it is not open. */
+  /** Returns the executor of a transaction; undefined if it is not open. */
   executorOf: (number: number) => StatementExecutor | undefined
   /**
-   * Keeps a transaction that has begun, if its first step has left it open, and ends it with the link.
+   * Adds a transaction if it is still open after its first step, and rolls it back when the link closes.
    *
-   * @param executor - where it runs
-   * @param scope - its request
+   * @param executor - executor that holds it
+   * @param scope - request that began it
    * @param answer - answer to its first step
    * @param link - link to its host
-   * @returns its number while it is open
+   * @returns its number; undefined if it is no longer open
    */
   add: (
     executor: StatementExecutor, scope: RequestScope, answer: StatementAnswer, link: PeerLink
   ) => Promise<number | undefined>
   /**
-   * Claims an open transaction for a step.
+   * Reserves an open transaction for a step and stops its idle timer.
    *
    * @param number - its number
    * @returns the transaction
-   * @throws RequestError `TransactionLost` when it has ended, cannot go on or runs another step
+   * @throws RequestError `TransactionLost` if it has ended, cannot continue or is running another step
    */
   claim: (number: number) => Promise<ForwardedTransaction>
   /**
-   * Keeps a transaction that its step has left open, or ends it.
+   * Finishes a step: keeps the transaction if it is still open, otherwise ends it.
    *
-   * @returns its number while it is open
+   * @returns its number; undefined if it is no longer open
    */
   settle: (
     number: number, transaction: ForwardedTransaction, answer: StatementAnswer
   ) => Promise<number | undefined>
-  /** Rolls a transaction back, unless a step of it is running. */
+  /** Rolls back a transaction, unless one of its steps is running. */
   end: (number: number, reason: string) => Promise<void>
-  /** Forgets a transaction whose step has no answer; its state is in doubt. */
+  /** Removes a transaction whose step got no answer, and closes its connection. */
   discard: (number: number, transaction: ForwardedTransaction) => void
-  /** Waits until all have ended, and ends those that are left after a time in milliseconds. */
+  /** Waits until all transactions have ended, and rolls back those still open after `endMs` milliseconds. */
   drain: (endMs: number) => Promise<void>
 }
 
-/** Ends the transactions of a link when it breaks; one listener a link, since a link carries very many. */
-function createLinkWatch (isOpen: (number: number) => boolean, onLost: (number: number) => void) {
+/** Tracks transactions by link and calls `onLost` for each when its link closes, with one listener per link. */
+function createLinkTracker (isOpen: (number: number) => boolean, onLost: (number: number) => void) {
   const byLink = new WeakMap<PeerLink, Set<number>>()
   return (link: PeerLink, number: number): void => {
-    const known = byLink.get(link)
-    if (known !== undefined) {
-      known.forEach((other) => isOpen(other) || known.delete(other))
-      known.add(number)
+    const tracked = byLink.get(link)
+    if (tracked !== undefined) {
+      tracked.forEach((other) => isOpen(other) || tracked.delete(other))
+      tracked.add(number)
       return
     }
     const numbers = new Set([number])
@@ -89,7 +87,7 @@
 /**
  * Creates the registry of forwarded transactions.
  *
- * @param options - log and idle time
+ * @param options - logger and maximum idle time
  * @returns the registry
  */
 export function createForwardedTransactions (
@@ -107,16 +105,16 @@
       await transaction.executor.rollBack()
     }
   }
-  const endWithLink = createLinkWatch(
+  const endWithLink = createLinkTracker(
     (number) => open.has(number), (number) => { void end(number, 'the link to its host was lost') })
   const settle = async (
     number: number, transaction: ForwardedTransaction, answer: StatementAnswer
   ): Promise<number | undefined> => {
     transaction.running = false
-    if (goesOn(answer)) {
+    if (leavesTransactionOpen(answer)) {
       open.set(number, transaction)
       clearTimeout(transaction.idleTimer)
-      transaction.idleTimer = setTimeout(() => { void end(number, 'it rested for too long') }, idleMs())
+      transaction.idleTimer = setTimeout(() => { void end(number, 'it was idle for too long') }, idleMs())
       return number
     }
     open.delete(number)
--- a/src/entry/requests/forwarding-executor.ts
+++ b/src/entry/requests/forwarding-executor.ts
@@ -1,41 +1,43 @@
-/** Executes statements at a home of the upstream, which this host forwards them to. */
+/** Executes statements at an upstream by forwarding them to one of its homes. */
 import { toRequestError } from '../../core/errors/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import { HOP_GRACE_MS, type HomeReply, type PassedOn } from '../homes/index.ts'
 import type { UsedUpstream } from '../pools/index.ts'
 import type { KnownHost } from '../registry/index.ts'
 import type { LogPosition } from '../../positions/position.ts'
-import { encodeStep, lostAnswerError, timedAnswerOf } from './forwarded-steps.ts'
+import { encodeStep, lostAnswerError, toTimedAnswer } from './forwarded-steps.ts'
 import type { TimedAnswer } from './run-statement.ts'
-import { ROLLBACK_MS, type Begun, type StatementExecutor, type TransactionStep } from './statement-executor.ts'
+import { ROLLBACK_MS, type BeginResult, type StatementExecutor, type TransactionStep } from './statement-executor.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
-/** Where statements are forwarded to. */
+/** Destination of forwarded statements. */
 interface ForwardingOptions {
   home: KnownHost
-  known: KnownUpstream
-  used: UsedUpstream
+  target: KnownUpstream
+  resources: UsedUpstream
   /** Position that the upstream's log must have reached. */
   after?: LogPosition
-  /** Epoch in which the upstream is the primary; given where only the primary will do. */
+  /** Epoch in which the upstream is the primary; set only if the statements require the primary. */
   epoch?: number
 }
 
-/** Link to one home on behalf of one request or transaction. */
+/** Client of one home for one request or transaction. */
 interface HomeLink {
-  /** Sends a question and waits for the reply; a home that fails is not chosen again for the request. */
+  /** Sends a message and waits for the reply. A home that fails is not chosen again for the request. */
   ask: (scope: RequestScope, type: string, body: unknown, onLateReply?: PassedOn['onLateReply']) => Promise<HomeReply>
-  /** Checks that the home answers: a write that a silent home has taken stays in doubt. */
+  /** Checks that the home responds, since a write sent to an unresponsive home would be in doubt. */
   ensureAlive: (scope: RequestScope) => Promise<void>
-  /** Rolls back a transaction that is open there; never rejects. */
+  /** Rolls back an open transaction at the home; never rejects. */
   rollBack: (transaction: number) => Promise<void>
 }
 
-/** Ignores the late reply of an abandoned step: the read has run elsewhere, or the transaction is rolled back. */
+/** Ignores the late reply to an abandoned step: the read was retried, or the transaction is rolled back. */
 function ignoreLateReply (): void {}
 
-function createHomeLink ({ homes }: Pick<EntryContext, 'homes'>, { home, known, used }: ForwardingOptions): HomeLink {
-  const { upstream } = known
+function createHomeLink (
+  { homes }: Pick<EntryContext, 'homes'>, { home, target, resources }: ForwardingOptions
+): HomeLink {
+  const { upstream } = target
   const avoidOnError = async <Result>(scope: RequestScope, call: () => Promise<Result>): Promise<Result> => {
     try {
       return await call()
@@ -51,8 +53,8 @@
       const timeoutMs = scope.deadline.leftMs + HOP_GRACE_MS
       return await avoidOnError(scope, async () => {
         const reply = await homes.ask(home, { upstream, type, body, timeoutMs, onLateReply })
-        used.health.answered()
-        used.health.recordLatency(performance.now() - sentAt)
+        resources.health.answered()
+        resources.health.recordLatency(performance.now() - sentAt)
         return reply
       })
     },
@@ -62,14 +64,14 @@
         const body = { transaction }
         await homes.ask(home, { upstream, type: 'home-rollback', body, timeoutMs: ROLLBACK_MS })
       } catch {
-        // The home has logged why, or is gone; it ends transactions that are idle, and those of links that break.
+        // The home ends transactions that are idle or whose link has closed.
       }
     }
   }
 }
 
-/** Builds the questions of one request or transaction; session values are sent only when they have changed. */
-function createQuestions ({ known, after, epoch }: ForwardingOptions) {
+/** Builds the messages of one request or transaction. Session values are included only when they have changed. */
+function createMessages ({ target, after, epoch }: ForwardingOptions) {
   let sentValues = '[]'
   const next = (scope: RequestScope, step: TransactionStep) => {
     const values = [...scope.values]
@@ -79,14 +81,14 @@
     return {
       id: scope.requestId,
       leftMs: Math.round(scope.deadline.leftMs),
-      inTimeMs: Math.round(scope.inTimeUntil - performance.now()),
+      inTimeMs: Math.round(scope.softDeadline - performance.now()),
       ...hasChanged && { values },
       step: encodeStep(step)
     }
   }
   const first = (scope: RequestScope, step: TransactionStep) => ({
     ...next(scope, step),
-    upstream: known.upstream,
+    upstream: target.upstream,
     organisation: scope.organisation ?? '',
     version: scope.version,
     priority: scope.priority,
@@ -97,34 +99,34 @@
   return { next, first }
 }
 
-/** The answer to the statement within a reply. */
-function answerIn (upstream: string, sentAt: number, reply: HomeReply): TimedAnswer {
+/** Returns the answer in a reply; throws RequestError if there is none. */
+function extractAnswer (upstream: string, sentAt: number, reply: HomeReply): TimedAnswer {
   if (reply.answer === undefined) {
     throw lostAnswerError(upstream, reply)
   }
-  return timedAnswerOf(sentAt, reply, reply.answer)
+  return toTimedAnswer(sentAt, reply, reply.answer)
 }
 
-/** An abandoned transaction is rolled back once the home reports its number. */
-function rollBackLateReply (link: HomeLink, { transaction }: HomeReply): void {
+/** Rolls back a transaction whose begin was abandoned, once a late reply reports its number. */
+function rollBackLateTransaction (link: HomeLink, { transaction }: HomeReply): void {
   if (transaction !== undefined) {
     void link.rollBack(transaction)
   }
 }
 
 /**
- * Creates an executor at a home. Nothing is sent before the first statement.
+ * Creates an executor that forwards to a home. Nothing is sent before the first statement.
  *
- * @param context - the rest of the process
+ * @param context - services of the entry process
  * @param options - the home and the upstream
  * @returns the executor
  */
 export function createForwardingExecutor (
   context: Pick<EntryContext, 'homes'>, options: ForwardingOptions
 ): StatementExecutor {
-  const { home, known, used, after } = options
+  const { home, target, resources, after } = options
   const link = createHomeLink(context, options)
-  const questions = createQuestions(options)
+  const messages = createMessages(options)
   let transaction: number | undefined
   let endedBecause: string | undefined
 
@@ -139,44 +141,44 @@
     transaction = undefined
     return detached
   }
-  const begin = async (scope: RequestScope, readOnly: boolean, step: TransactionStep): Promise<Begun> => {
+  const begin = async (scope: RequestScope, readOnly: boolean, step: TransactionStep): Promise<BeginResult> => {
     const sentAt = performance.now()
-    const body = { ...questions.first(scope, step), begin: readOnly ? 'read-only' : 'plain' }
-    const reply = await link.ask(scope, 'home-statement', body, (late) => rollBackLateReply(link, late))
+    const body = { ...messages.first(scope, step), begin: readOnly ? 'read-only' : 'plain' }
+    const reply = await link.ask(scope, 'home-statement', body, (late) => rollBackLateTransaction(link, late))
     if (reply.begun === undefined) {
-      throw toRequestError(lostAnswerError(known.upstream, reply), 'not-run', true)
+      throw toRequestError(lostAnswerError(target.upstream, reply), 'not-run', true)
     }
     takeTransaction(reply)
     return {
-      begin: timedAnswerOf(sentAt, reply, reply.begun),
-      first: reply.answer && timedAnswerOf(sentAt, reply, reply.answer),
-      lost: reply.lost && lostAnswerError(known.upstream, reply)
+      beginAnswer: toTimedAnswer(sentAt, reply, reply.begun),
+      firstAnswer: reply.answer && toTimedAnswer(sentAt, reply, reply.answer),
+      firstError: reply.lost && lostAnswerError(target.upstream, reply)
     }
   }
   return {
-    known,
-    used,
+    target,
+    resources,
     after,
     home: home.name,
     get brokenBecause () { return endedBecause },
-    runSingle: async (scope, work) => {
-      const isRead = work.access === 'read'
+    runSingle: async (scope, statement) => {
+      const isRead = statement.access === 'read'
       if (!isRead) {
         await link.ensureAlive(scope)
       }
       const sentAt = performance.now()
-      const body = questions.first(scope, { type: 'work', work })
+      const body = messages.first(scope, { type: 'statement', statement })
       const reply = await link.ask(scope, 'home-statement', body, isRead ? ignoreLateReply : undefined)
-      return answerIn(known.upstream, sentAt, reply)
+      return extractAnswer(target.upstream, sentAt, reply)
     },
     begin,
     step: async (scope, step) => {
       const sentAt = performance.now()
-      const mayAbandon = step.type === 'work'
-      const body = { ...questions.next(scope, step), transaction }
+      const mayAbandon = step.type === 'statement'
+      const body = { ...messages.next(scope, step), transaction }
       const reply = await link.ask(scope, 'home-step', body, mayAbandon ? ignoreLateReply : undefined)
       takeTransaction(reply)
-      return answerIn(known.upstream, sentAt, reply)
+      return extractAnswer(target.upstream, sentAt, reply)
     },
     release: () => { transaction = undefined },
     discard: () => {
--- a/src/entry/requests/index.ts
+++ b/src/entry/requests/index.ts
@@ -1,4 +1,4 @@
-/** Plug-in `entry`: accepts callers' connections, serves their sessions, and serves what other hosts forward. */
+/** Plug-in `entry`: serves callers' sessions and the statements that other hosts forward to this one. */
 import type { EntrySettings } from '../../core/config/entry-settings.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
 import { parseEndpoint } from '../../core/wire/dialer.ts'
@@ -9,16 +9,16 @@
 import { createSession, type Session } from './session.ts'
 import { createStatementCosts } from './statement-costs.ts'
 import { stopSessions } from './stop-sessions.ts'
-import type { EntryContext, EntryMeasures } from './types.ts'
+import type { EntryContext, EntryMetrics } from './types.ts'
 
-/** Time for which a transaction may be idle while no desired state is known, in milliseconds. */
-const UNKNOWN_IDLE_MS = 3000
+/** Maximum idle time of a transaction while no desired state is known, in milliseconds. */
+const DEFAULT_IDLE_MS = 3000
 
 declare module '../../core/kernel/index.ts' {
   interface Services { entry: Record<string, never> }
 }
 
-function createMeasures (metrics: Pick<Metrics, 'time' | 'count'>): EntryMeasures {
+function createEntryMetrics (metrics: Pick<Metrics, 'time' | 'count'>): EntryMetrics {
   return {
     request: metrics.time('worksward_entry_request_milliseconds', 'Time of requests, by type and outcome'),
     queue: metrics.time('worksward_entry_queue_milliseconds', 'Time that requests waited for a connection'),
@@ -48,9 +48,9 @@
       limits: context.use('limits'),
       freshness: context.use('freshness'),
       logger,
-      budget: createRetryBudget(),
+      retryBudget: createRetryBudget(),
       costs: createStatementCosts(),
-      measures: createMeasures(metrics),
+      metrics: createEntryMetrics(metrics),
       failureDomain: settings.host.failureDomain,
       get drainMs () { return settings.drainMs }
     }
@@ -61,7 +61,7 @@
       peers: context.use('peers'),
       registry: context.use('registry'),
       desiredState,
-      idleMs: () => desiredState.current?.transactionIdleMs ?? UNKNOWN_IDLE_MS,
+      idleMs: () => desiredState.current?.transactionIdleMs ?? DEFAULT_IDLE_MS,
       isLeaving: () => context.stopping.aborted
     })
     metrics.expose('worksward_passed_transactions', 'Transactions that are open here for other hosts',
@@ -71,7 +71,7 @@
         context: entryContext,
         link,
         desiredState: () => desiredState.current,
-        stateKnown: desiredState.known,
+        waitForDesiredState: desiredState.known,
         onDone: metrics.recordRequest,
         onClose: () => sessions.delete(session)
       })
--- a/src/entry/requests/local-executor.ts
+++ b/src/entry/requests/local-executor.ts
@@ -1,4 +1,4 @@
-/** Executes statements on a leased connection of this host. */
+/** Executes statements at an upstream on a leased connection of this host. */
 import { RequestError, toRequestError } from '../../core/errors/index.ts'
 import { TIMED_OUT, within } from '../../core/time/deadline.ts'
 import type { KnownUpstream } from '../directory/index.ts'
@@ -6,86 +6,87 @@
 import type { ConnectionLease, UsedUpstream } from '../pools/index.ts'
 import type { UpstreamCommand } from '../ports/index.ts'
 import type { LogPosition } from '../../positions/position.ts'
-import { runCommand, runWork, type RunOptions, type TimedAnswer } from './run-statement.ts'
-import { ROLLBACK_MS, type Begun, type StatementExecutor, type TransactionStep } from './statement-executor.ts'
+import { runCommand, runStatement, type RunOptions, type TimedAnswer } from './run-statement.ts'
+import { ROLLBACK_MS, type BeginResult, type StatementExecutor, type TransactionStep } from './statement-executor.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
-/** Priority of the steps of transactions that are open: before all others, which start at 0. */
-const OPEN_PRIORITY = -1
+/** Priority of steps of open transactions; ahead of all other statements, whose priorities start at 0. */
+const OPEN_TRANSACTION_PRIORITY = -1
 
-/** What an executor on this host needs from the rest of the process. */
-type LocalContext = Pick<EntryContext, 'leadership' | 'freshness' | 'measures'>
+/** Services that a local executor needs. */
+type LocalContext = Pick<EntryContext, 'leadership' | 'freshness' | 'metrics'>
 
-/** A connection of this host to an upstream, and the conditions of its use. */
+/** A leased connection to an upstream, and the conditions under which statements may be sent on it. */
 interface LeasedUpstream {
-  known: KnownUpstream
-  used: UsedUpstream
+  target: KnownUpstream
+  resources: UsedUpstream
   lease: ConnectionLease
-  /** Ends the turn that the connection's user has at the upstream. */
-  leave: () => void
+  /** Frees the execution slot at the upstream. */
+  releaseSlot: () => void
+  /** Position that the upstream's log must have reached; undefined if the statements require the primary. */
   after?: LogPosition
-  /** The lease under which this host works at the primary; undefined at a replica. */
+  /** Lease of this host on the primary; undefined at a replica. */
   primaryLease?: PrimaryLease
 }
 
 /** An executor on a connection of this host. */
 export interface LocalExecutor extends StatementExecutor {
   /**
-   * Asks the primary where its log ends, and releases the executor. A transaction is begun and rolled back, which
-   * takes no slot, and which an upstream that has lost the lead refuses.
+   * Queries the end of the primary's log, and releases the executor. Begins a transaction and rolls it back, which an
+   * upstream refuses if it is no longer the primary.
    *
-   * @param scope - the request
-   * @returns the answer
-   * @throws RequestError
+   * @param scope - the current request
+   * @returns the answer, with the position
+   * @throws RequestError if the primary does not answer
    */
-  proveLead: (scope: RequestScope) => Promise<TimedAnswer>
+  queryLogEnd: (scope: RequestScope) => Promise<TimedAnswer>
 }
 
 /**
- * Reports whether a primary lease is still valid; checked right before each sending.
+ * Reports whether a lease on a primary is still valid. Checked right before each statement is sent.
  *
- * @param context - the rest of the process
+ * @param context - services of the entry process
  * @param group - the group
- * @param primaryLease - the lease under which the work began
- * @returns whether it is
+ * @param primaryLease - the lease to check
+ * @returns true if this host still holds a lease of the same epoch
  */
-export function holdsLease (
+export function isLeaseValid (
   { leadership }: Pick<EntryContext, 'leadership'>, group: string, primaryLease: PrimaryLease
 ): boolean {
   return leadership.of(group)?.epoch === primaryLease.epoch
 }
 
 /**
- * Returns the position that an upstream's log must have reached. For the primary of a lease it is the end of its log,
- * as it last reported it: one that has started again under its name holds nothing, and its row in the directory comes
- * later. Reads that reach it before that would lack what has been acknowledged.
+ * Returns the position that an upstream's log must have reached. At the primary it is the last position known for the
+ * lease's epoch. This rejects a primary that has restarted empty before its directory row is updated; reads there would
+ * miss acknowledged writes.
  */
 function requiredPosition (
-  { freshness }: LocalContext, { known, after, primaryLease }: LeasedUpstream
+  { freshness }: LocalContext, { target, after, primaryLease }: LeasedUpstream
 ): LogPosition | undefined {
   if (after !== undefined || primaryLease === undefined) {
     return after
   }
-  const proofs = freshness.of(known.group)
+  const proofs = freshness.of(target.group)
   return proofs.epoch === primaryLease.epoch ? proofs.newest : undefined
 }
 
-function maySend (context: LocalContext, { known, after, primaryLease }: LeasedUpstream): boolean {
-  return after !== undefined || (primaryLease !== undefined && holdsLease(context, known.group, primaryLease))
+function maySend (context: LocalContext, { target, after, primaryLease }: LeasedUpstream): boolean {
+  return after !== undefined || (primaryLease !== undefined && isLeaseValid(context, target.group, primaryLease))
 }
 
 function runOptionsOf (
-  { leadership, measures }: LocalContext, { known, used, lease }: LeasedUpstream, scope: RequestScope,
+  { leadership, metrics }: LocalContext, { target, resources, lease }: LeasedUpstream, scope: RequestScope,
   mayAbandon: boolean
 ): RunOptions {
   return {
-    used,
+    resources,
     lease,
     deadline: scope.deadline,
-    onTime: measures.upstream,
+    onFinished: metrics.upstream,
     onSilence: () => {
-      leadership.suspect(known.upstream)
-      return mayAbandon && used.health.unreachableSince !== undefined
+      leadership.suspect(target.upstream)
+      return mayAbandon && resources.health.unreachableSince !== undefined
     }
   }
 }
@@ -96,52 +97,54 @@
     const isDone = answer !== TIMED_OUT && answer.failure === undefined && answer.state === 'idle'
     isDone ? lease.release() : lease.discard()
   } catch {
-    // The connection is gone, and the transaction with it; nobody waits for this answer.
+    // The upstream rolls back the transaction of a lost connection.
     lease.discard()
   }
 }
 
 /**
- * Returns why a transaction cannot go on here. One that only reads at a known position goes on at an upstream that is
- * not the primary any longer.
+ * Returns the reason why a transaction cannot continue here, if any. A read-only transaction at a known position needs
+ * no lease, so it survives a change of the primary.
  */
-function brokenReason (context: LocalContext, leased: LeasedUpstream, onlyReads: boolean): string | undefined {
-  const { known, lease, after, primaryLease } = leased
+function findBrokenReason (context: LocalContext, leased: LeasedUpstream, onlyReads: boolean): string | undefined {
+  const { target, lease, after, primaryLease } = leased
   if (lease.connection.closed) {
     return 'its connection was lost'
   }
   const needsLease = primaryLease !== undefined && !(onlyReads && after !== undefined)
-  return needsLease && !holdsLease(context, known.group, primaryLease) ? 'the primary has changed' : undefined
+  return needsLease && !isLeaseValid(context, target.group, primaryLease) ? 'the primary has changed' : undefined
 }
 
 /**
  * Creates an executor on a connection of this host.
  *
- * @param context - the rest of the process
+ * @param context - services of the entry process
  * @param leased - the connection
  * @returns the executor
  */
 export function createLocalExecutor (context: LocalContext, leased: LeasedUpstream): LocalExecutor {
-  const { known, used, lease, leave, after, primaryLease } = leased
+  const { target, resources, lease, releaseSlot, after, primaryLease } = leased
   let onlyReads = false
   const optionsOf = (scope: RequestScope, mayAbandon: boolean): RunOptions =>
     runOptionsOf(context, leased, scope, mayAbandon)
   const withEpoch = (timed: TimedAnswer): TimedAnswer => ({ ...timed, epoch: primaryLease?.epoch })
   const runStep = async (scope: RequestScope, step: TransactionStep): Promise<TimedAnswer> => {
     const options = optionsOf(scope, false)
-    const timed = step.type === 'work'
-      ? await runWork(step.work, scope.values, undefined, options)
+    const timed = step.type === 'statement'
+      ? await runStatement(step.statement, scope.values, undefined, options)
       : await runCommand(step, options)
     return withEpoch(timed)
   }
-  const runFirst = async (begin: TimedAnswer, scope: RequestScope, step: TransactionStep): Promise<Begun> => {
+  const runFirst = async (
+    beginAnswer: TimedAnswer, scope: RequestScope, step: TransactionStep
+  ): Promise<BeginResult> => {
     try {
-      return { begin, first: await runStep(scope, step) }
+      return { beginAnswer, firstAnswer: await runStep(scope, step) }
     } catch (thrown) {
-      return { begin, lost: toRequestError(thrown, 'may-have-run') }
+      return { beginAnswer, firstError: toRequestError(thrown, 'may-have-run') }
     }
   }
-  const begin = async (scope: RequestScope, readOnly: boolean, step: TransactionStep): Promise<Begun> => {
+  const begin = async (scope: RequestScope, readOnly: boolean, step: TransactionStep): Promise<BeginResult> => {
     onlyReads = readOnly
     const command: UpstreamCommand = {
       type: 'begin', readOnly: readOnly && after !== undefined, after: requiredPosition(context, leased)
@@ -150,37 +153,39 @@
       const begun = withEpoch(await runCommand(command, optionsOf(scope, true)))
       if (begun.answer.failure !== undefined) {
         lease.release()
-        return { begin: begun }
+        return { beginAnswer: begun }
       }
       return await runFirst(begun, scope, step)
     } finally {
-      leave()
+      releaseSlot()
     }
   }
   const runOpenStep = async (scope: RequestScope, step: TransactionStep): Promise<TimedAnswer> => {
-    // An open transaction occupies a connection and locks, so it goes first.
+    // An open transaction holds a connection and locks, so its steps go first.
     const waitMs = scope.deadline.leftMs
-    const leaveStep = await used.queue.enter({ priority: OPEN_PRIORITY, costMs: scope.costMs, waitMs })
+    const freeSlot = await resources.queue.enter({ priority: OPEN_TRANSACTION_PRIORITY, costMs: scope.costMs, waitMs })
     try {
-      // The lease may have expired while the step waited for its turn.
-      const reason = brokenReason(context, leased, onlyReads)
+      // The lease may have expired while the step waited in the queue.
+      const reason = findBrokenReason(context, leased, onlyReads)
       if (reason !== undefined) {
         throw new RequestError('not-run', 'TransactionLost', { reason })
       }
       return await runStep(scope, step)
     } finally {
-      leaveStep()
+      freeSlot()
     }
   }
   return {
-    known,
-    used,
+    target,
+    resources,
     after,
-    get brokenBecause () { return brokenReason(context, leased, onlyReads) },
-    runSingle: async (scope, work, mayAbandon) => {
-      const position = work.access === 'read' ? requiredPosition(context, leased) : undefined
+    get brokenBecause () { return findBrokenReason(context, leased, onlyReads) },
+    runSingle: async (scope, statement, mayAbandon) => {
+      const position = statement.access === 'read' ? requiredPosition(context, leased) : undefined
       const options = optionsOf(scope, mayAbandon)
-      const timed = await runWork(work, scope.values, position, options, () => maySend(context, leased)).finally(leave)
+      const timed = await runStatement(
+        statement, scope.values, position, options, () => maySend(context, leased)
+      ).finally(releaseSlot)
       lease.release()
       return withEpoch(timed)
     },
@@ -189,8 +194,8 @@
     release: lease.release,
     discard: lease.discard,
     rollBack: async () => await rollBackOn(lease),
-    proveLead: async (scope) => {
-      const timed = await runCommand({ type: 'begin', readOnly: false }, optionsOf(scope, true)).finally(leave)
+    queryLogEnd: async (scope) => {
+      const timed = await runCommand({ type: 'begin', readOnly: false }, optionsOf(scope, true)).finally(releaseSlot)
       void rollBackOn(lease)
       return withEpoch(timed)
     }
--- a/src/entry/requests/primary-access.ts
+++ b/src/entry/requests/primary-access.ts
@@ -1,6 +1,6 @@
 /**
- * The way to the primary of a group: through one of its homes, or directly while this host holds its lease. How long a
- * request waits for a primary is decided in `wait-rules.ts`.
+ * Acquires executors at the primary of a group, either through one of its homes or on a connection of this host, which
+ * requires a lease on the primary. `wait-rules.ts` decides how long a request waits for a primary.
  */
 import { describeThrown, RequestError } from '../../core/errors/index.ts'
 import { pause } from '../../core/time/deadline.ts'
@@ -8,125 +8,132 @@
 import { SILENCE_MS } from '../pools/index.ts'
 import { acquireConnection } from './acquire-connection.ts'
 import { createForwardingExecutor } from './forwarding-executor.ts'
-import { createLocalExecutor, holdsLease, type LocalExecutor } from './local-executor.ts'
-import { NOT_RUN_PAUSE_MS } from './retry-rules.ts'
+import { createLocalExecutor, isLeaseValid, type LocalExecutor } from './local-executor.ts'
+import { RETRY_PAUSE_MS } from './retry-rules.ts'
 import type { StatementExecutor } from './statement-executor.ts'
 import type { EntryContext, RequestScope } from './types.ts'
-import { failoverWaitMs, mayTakeWork, RETRY_AFTER_MS, retryAfterMsOf, WAIT_SHARE } from './wait-rules.ts'
+import { acceptsNewWork, failoverWaitMs, RETRY_AFTER_MS, retryAfterMsOf, WAIT_SHARE } from './wait-rules.ts'
 
-/** What the way to a primary needs from the rest of the process. */
+/** Services needed to reach a primary. */
 export type PrimaryContext = Pick<
-  EntryContext, 'leadership' | 'directory' | 'homes' | 'pools' | 'freshness' | 'measures' | 'drainMs'
+  EntryContext, 'leadership' | 'directory' | 'homes' | 'pools' | 'freshness' | 'metrics' | 'drainMs'
 >
 
-/** Why there is no executor at a primary yet; it may help to try again soon. */
-type NotYet = { notYet: string }
+/** Result of an attempt that found no usable primary; retrying shortly may succeed. */
+type PrimaryUnavailable = { unavailableReason: string }
 
 /**
- * Returns an executor at the primary, waiting for a primary for a part of the request's time.
+ * Acquires an executor at the primary. Waits for a primary for a share of the request's remaining time, and longer
+ * if a failover is expected to finish before its deadline.
  *
- * @param context - the rest of the process
- * @param scope - the request
+ * @param context - services of the entry process
+ * @param scope - the current request
  * @returns the executor
  * @throws RequestError with verdict `not-run`
  */
-export async function executorAtPrimary (context: PrimaryContext, scope: RequestScope): Promise<StatementExecutor> {
+export async function acquirePrimaryExecutor (
+  context: PrimaryContext, scope: RequestScope
+): Promise<StatementExecutor> {
   const { leadership, directory } = context
   const { group, deadline } = scope
-  const greatestWait = performance.now() + deadline.leftMs * WAIT_SHARE
+  const defaultDeadline = performance.now() + deadline.leftMs * WAIT_SHARE
   let reason = 'no primary is known'
   for (;;) {
-    const until = waitUntil(context, scope, greatestWait)
+    const until = primaryWaitDeadline(context, scope, defaultDeadline)
     const primary = await leadership.waitForPrimary(group, until - performance.now())
     if (primary === undefined) {
       break
     }
-    const known = directory.get(primary.upstream)
-    const outcome = known === undefined || !mayTakeWork(known, context.drainMs, performance.now())
-      ? { notYet: 'the primary is leaving' }
-      : forwardingExecutorAtPrimary(context, scope, known, primary.epoch) ??
-        await localExecutorAtPrimary(context, scope, known, until - performance.now())
-    if (!('notYet' in outcome)) {
+    const target = directory.get(primary.upstream)
+    const outcome = target === undefined || !acceptsNewWork(target, context.drainMs, performance.now())
+      ? { unavailableReason: 'the primary is leaving' }
+      : createPrimaryForwardingExecutor(context, scope, target, primary.epoch) ??
+        await acquireLocalPrimaryExecutor(context, scope, target, until - performance.now())
+    if (!('unavailableReason' in outcome)) {
       return outcome
     }
-    reason = outcome.notYet
-    if (performance.now() + NOT_RUN_PAUSE_MS >= waitUntil(context, scope, greatestWait)) {
+    reason = outcome.unavailableReason
+    if (performance.now() + RETRY_PAUSE_MS >= primaryWaitDeadline(context, scope, defaultDeadline)) {
       break
     }
-    await pause(NOT_RUN_PAUSE_MS)
+    await pause(RETRY_PAUSE_MS)
   }
   const retryAfterMs = retryAfterMsOf(leadership.expectedMs(group))
   throw new RequestError('not-run', 'NoUpstream', { group, reason, retryAfterMs })
 }
 
-/** Until when a request waits for a primary, on the steady clock; `otherwise` while no failover is expected. */
-function waitUntil (
-  { leadership }: Pick<EntryContext, 'leadership'>, { group, deadline }: RequestScope, otherwise: number
+/** Time until which a request waits for a primary, on the monotonic clock; the default if no failover is expected. */
+function primaryWaitDeadline (
+  { leadership }: Pick<EntryContext, 'leadership'>, { group, deadline }: RequestScope, defaultDeadline: number
 ): number {
   const expectedMs = leadership.expectedMs(group)
-  return expectedMs === 0 ? otherwise : performance.now() + failoverWaitMs(expectedMs, deadline.leftMs)
+  return expectedMs === 0 ? defaultDeadline : performance.now() + failoverWaitMs(expectedMs, deadline.leftMs)
 }
 
-function forwardingExecutorAtPrimary (
-  context: PrimaryContext, scope: RequestScope, known: KnownUpstream, epoch: number
+function createPrimaryForwardingExecutor (
+  context: PrimaryContext, scope: RequestScope, target: KnownUpstream, epoch: number
 ): StatementExecutor | undefined {
-  const home = context.homes.choose(known, scope.triedHomes, scope.organisation)
+  const home = context.homes.choose(target, scope.triedHomes, scope.organisation)
   if (home === undefined) {
     return undefined
   }
   scope.attempts++
-  return createForwardingExecutor(context, { home, known, used: context.pools.of(known), epoch })
+  return createForwardingExecutor(context, { home, target, resources: context.pools.of(target), epoch })
 }
 
 /**
- * Takes a connection of this host to a primary, if the host holds a lease on working there.
+ * Acquires an executor on a connection of this host to a primary, if this host holds the lease on that primary.
  *
- * @param context - the rest of the process
- * @param scope - the request
- * @param known - the primary
- * @param waitMs - greatest wait for the lease and for the connection, in milliseconds
- * @returns the executor, or why there is none yet
- * @throws RequestError `Overloaded`: there is a primary, and it has more work than it can do
+ * @param context - services of the entry process
+ * @param scope - the current request
+ * @param target - the primary
+ * @param waitMs - maximum wait for the lease and the connection together, in milliseconds
+ * @returns the executor, or the reason why the primary cannot be used yet
+ * @throws RequestError `Overloaded` if the primary's queue or pool has no capacity in time
  */
-export async function localExecutorAtPrimary (
-  context: PrimaryContext, scope: RequestScope, known: KnownUpstream, waitMs: number
-): Promise<LocalExecutor | NotYet> {
+export async function acquireLocalPrimaryExecutor (
+  context: PrimaryContext, scope: RequestScope, target: KnownUpstream, waitMs: number
+): Promise<LocalExecutor | PrimaryUnavailable> {
   const { leadership, pools } = context
   const until = performance.now() + waitMs
-  const primaryLease = await leadership.wait(known.group, waitMs)
-  if (primaryLease?.upstream !== known.upstream) {
-    return { notYet: primaryLease === undefined ? 'this host has no right to work at the primary' : 'the primary has changed' }
+  const primaryLease = await leadership.wait(target.group, waitMs)
+  if (primaryLease?.upstream !== target.upstream) {
+    return {
+      unavailableReason: primaryLease === undefined
+        ? 'this host has no right to work at the primary'
+        : 'the primary has changed'
+    }
   }
-  const used = pools.of(known)
-  if (used.health.unreachableSince !== undefined) {
-    leadership.lost(known.group)
-    leadership.suspect(known.upstream)
-    return { notYet: 'the primary cannot be reached' }
+  const resources = pools.of(target)
+  if (resources.health.unreachableSince !== undefined) {
+    leadership.lost(target.group)
+    leadership.suspect(target.upstream)
+    return { unavailableReason: 'the primary cannot be reached' }
   }
-  leadership.reached(known.group)
+  leadership.reached(target.group)
   scope.attempts++
   try {
-    const turn = await acquireConnection(context, scope, used, Math.max(1, until - performance.now()))
-    if (holdsLease(context, known.group, primaryLease)) {
-      return createLocalExecutor(context, { known, used, ...turn, primaryLease })
+    const acquired = await acquireConnection(context, scope, resources, Math.max(1, until - performance.now()))
+    if (isLeaseValid(context, target.group, primaryLease)) {
+      return createLocalExecutor(context, { target, resources, ...acquired, primaryLease })
     }
-    turn.lease.release()
-    turn.leave()
-    return { notYet: 'the primary has changed' }
+    acquired.lease.release()
+    acquired.releaseSlot()
+    return { unavailableReason: 'the primary has changed' }
   } catch (thrown) {
-    // Waiting on at an overloaded primary makes every request there late.
+    // Waiting longer at an overloaded primary would delay every request there.
     if (thrown instanceof RequestError && thrown.entry === 'Overloaded') {
-      throw used.health.isSilent ? silentPrimary(known) : thrown
+      throw resources.health.isSilent ? silentPrimaryError(target) : thrown
     }
-    return { notYet: describeThrown(thrown) }
+    return { unavailableReason: describeThrown(thrown) }
   }
 }
 
 /**
- * The refusal of a request that has waited behind others at a primary which answers none of them: to come back as soon
- * as the queue of a busy one allows would be too soon.
+ * Returns the error for a request that was queued at a primary which answers nothing. Its retry delay allows for a
+ * failover, unlike the shorter delay of a busy queue.
  */
-function silentPrimary ({ group, upstream }: KnownUpstream): RequestError {
+function silentPrimaryError ({ group, upstream }: KnownUpstream): RequestError {
   return new RequestError('not-run', 'Overloaded', {
     group, reason: `${upstream} has answered nothing for ${SILENCE_MS} ms`, retryAfterMs: RETRY_AFTER_MS
   })
--- a/src/entry/requests/prove-position.ts
+++ b/src/entry/requests/prove-position.ts
@@ -1,25 +1,26 @@
 /**
- * Asks a group's primary where its log ends, with a statement that takes none of its slots. After all hosts have
- * started at once no host has a proof, and reads that all go to the primary for one would overload it.
+ * Queries the primary of a group for the end of its log, with a command that occupies no execution slot there. Without
+ * such a proof all reads go to the primary, which would overload it when all hosts start at the same time.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import { Deadline } from '../../core/time/deadline.ts'
-import { localExecutorAtPrimary, type PrimaryContext } from './primary-access.ts'
+import { acquireLocalPrimaryExecutor, type PrimaryContext } from './primary-access.ts'
 import { recordAnswer } from './record-answer.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
-/** Time that it may take, in milliseconds: two round trips, and opening a connection. */
-const PROVE_MS = 120
-/** Id under which it stands in the logs. */
-const PROOF_ID = 'proof-of-position'
+/** Timeout of a query, in milliseconds; enough to open a connection and for two round trips. */
+const PROOF_TIMEOUT_MS = 120
+/** Request id of the query in the logs. */
+const PROOF_REQUEST_ID = 'proof-of-position'
 
-/** What the prover needs from the rest of the process. */
+/** Services that the prover needs. */
 type ProverContext = PrimaryContext & Pick<EntryContext, 'costs' | 'logger'>
 
-/** Asks primaries where their logs end; those who need the same at the same time share the question. */
+/** Queries primaries for the end of their logs; concurrent calls for a group share one query. */
 interface PositionProver {
   /**
-   * Asks a group's primary, if this host is one of its homes and may work there.
+   * Queries the primary of a group and records its position. Does nothing unless this host is one of its homes and
+   * holds the lease on it.
    *
    * @param group - the group
    */
@@ -29,48 +30,48 @@
 /**
  * Creates the prover.
  *
- * @param context - the rest of the process
+ * @param context - services of the entry process
  * @returns the prover
  */
 export function createPositionProver (context: ProverContext): PositionProver {
-  const proving = new Map<string, Promise<void>>()
+  const pending = new Map<string, Promise<void>>()
 
-  const ask = async (group: string): Promise<void> => {
+  const queryLogEnd = async (group: string): Promise<void> => {
     const { leadership, directory, homes, logger } = context
     const primaryLease = leadership.of(group)
-    const known = primaryLease === undefined ? undefined : directory.get(primaryLease.upstream)
-    // While a primary is lost, the question would only hold up the reads that wait for it.
-    if (known === undefined || !homes.isHome(known) || leadership.expectedMs(group) > 0) {
+    const target = primaryLease === undefined ? undefined : directory.get(primaryLease.upstream)
+    // During a failover the query would only delay the reads that wait for its result.
+    if (target === undefined || !homes.isHome(target) || leadership.expectedMs(group) > 0) {
       return
     }
     const scope: RequestScope = {
-      requestId: PROOF_ID,
+      requestId: PROOF_REQUEST_ID,
       group,
       organisation: undefined,
       version: 0,
       priority: 0,
       costMs: 0,
       values: new Map(),
-      deadline: new Deadline(PROVE_MS),
-      inTimeUntil: performance.now() + PROVE_MS,
+      deadline: new Deadline(PROOF_TIMEOUT_MS),
+      softDeadline: performance.now() + PROOF_TIMEOUT_MS,
       attempts: 0,
       triedHomes: new Set()
     }
     try {
-      const executor = await localExecutorAtPrimary(context, scope, known, PROVE_MS)
-      if ('notYet' in executor) {
+      const executor = await acquireLocalPrimaryExecutor(context, scope, target, PROOF_TIMEOUT_MS)
+      if ('unavailableReason' in executor) {
         return
       }
-      recordAnswer(context, scope, await executor.proveLead(scope))
+      recordAnswer(context, scope, await executor.queryLogEnd(scope))
     } catch (thrown) {
-      logger.log('info', 'freshness.not-proven', { group, upstream: known.upstream, reason: describeThrown(thrown) })
+      logger.log('info', 'freshness.not-proven', { group, upstream: target.upstream, reason: describeThrown(thrown) })
     }
   }
   return {
     prove: async (group) => {
-      const question = proving.get(group) ?? ask(group).finally(() => proving.delete(group))
-      proving.set(group, question)
-      await question
+      const proof = pending.get(group) ?? queryLogEnd(group).finally(() => pending.delete(group))
+      pending.set(group, proof)
+      await proof
     }
   }
 }
--- a/src/entry/requests/reads.ts
+++ b/src/entry/requests/reads.ts
@@ -1,10 +1,7 @@
 /**
- * Serves single reads.
- *
- * Where may a read run? Inputs: the route's freshness with its greatest age in milliseconds, when the read arrived on
- * the steady clock, the session's own writes, and what this host or a peer can prove of the primary's log. A read that
- * must see everything goes to the primary; any other one goes wherever the log has reached the proven position, and to
- * the primary when nothing is proven. What is repeated is decided in `retry-rules.ts`.
+ * Serves single reads. A read that requires the latest data goes to the primary. Other reads go to any upstream whose
+ * log has reached a position proven to be fresh enough, or to the primary if no position is proven. `retry-rules.ts`
+ * decides on retries.
  */
 import { describeThrown, RequestError } from '../../core/errors/index.ts'
 import { pause } from '../../core/time/deadline.ts'
@@ -12,53 +9,51 @@
 import { formatPosition, type LogPosition } from '../../positions/position.ts'
 import { acquireConnection } from './acquire-connection.ts'
 import { attemptStatement, failureCauseOf, finalAnswerOf } from './attempt.ts'
-import { chooseForRead } from './choose-upstream.ts'
+import { chooseReadUpstream } from './choose-upstream.ts'
 import { createForwardingExecutor } from './forwarding-executor.ts'
 import { createLocalExecutor } from './local-executor.ts'
-import { executorAtPrimary, type PrimaryContext } from './primary-access.ts'
+import { acquirePrimaryExecutor, type PrimaryContext } from './primary-access.ts'
 import { recordLag } from './record-answer.ts'
-import { decideRead, retryLabel, retryReason, type RetryCause } from './retry-rules.ts'
+import { decideReadRetry, retryLabel, retryReason, type RetryCause } from './retry-rules.ts'
 import type { StatementExecutor } from './statement-executor.ts'
-import type { DataWork, EntryContext, RequestScope } from './types.ts'
+import type { ExecutableStatement, EntryContext, RequestScope } from './types.ts'
 import { WAIT_SHARE } from './wait-rules.ts'
 
-/** What a proof of freshness needs from the rest of the process. */
+/** Services needed to prove the freshness of a read. */
 type ProofContext = Pick<EntryContext, 'directory' | 'freshness' | 'homes' | 'leadership'>
-/** What the way of a read to an upstream needs. */
+/** Services needed to acquire an executor for a read. */
 export type ReadContext = PrimaryContext & Pick<EntryContext, 'failureDomain' | 'logger'>
-/** What a single read needs. */
-type SingleReadContext = ReadContext & Pick<EntryContext, 'budget' | 'costs' | 'limits'>
+/** Services needed to serve a single read. */
+type SingleReadContext = ReadContext & Pick<EntryContext, 'retryBudget' | 'costs' | 'limits'>
 
-/**
- * Where a read may run: at the primary only, or wherever the log has reached a position.
- */
-export type ReadPlace = { type: 'primary' } | { type: 'after', position: LogPosition }
+/** Where a read may run: only at the primary, or at any upstream whose log has reached a position. */
+export type ReadConstraint = { type: 'primary' } | { type: 'after', position: LogPosition }
 
 /**
- * Decides where a read may run; asks peers for a proof of freshness when this host has none.
+ * Decides where a read may run. Asks peers for a proof of freshness if this host has none.
  *
- * @param context - the rest of the process
+ * @param context - services of the entry process
  * @param group - the group
- * @param freshness - what the route asks for
- * @param arrivedAt - when the read arrived, on the steady clock
- * @param sessionFloor - what the session itself has written
- * @returns the place
+ * @param freshness - freshness that the route requires
+ * @param arrivedAt - when the read arrived, on the monotonic clock
+ * @param sessionFloor - position of the session's last write
+ * @returns the constraint
  */
-export async function placeRead (
+export async function resolveReadConstraint (
   context: ProofContext, group: string, freshness: Freshness, arrivedAt: number, sessionFloor?: LogPosition
-): Promise<ReadPlace> {
+): Promise<ReadConstraint> {
   if (freshness.type === 'primary') {
     return { type: 'primary' }
   }
   const floor = freshness.type === 'session' ? sessionFloor : undefined
   const since = arrivedAt - freshness.maximumAgeMs
   const proofs = context.freshness.of(group)
-  const known = proofs.floorSince(since, floor)
-  const position = known ?? await fetchFloor(context, group, since, floor)
+  const provenFloor = proofs.floorSince(since, floor)
+  const position = provenFloor ?? await fetchFloor(context, group, since, floor)
   return position === undefined ? { type: 'primary' } : { type: 'after', position }
 }
 
-/** Asks for a proof: the homes of the primary can make one. */
+/** Fetches a proof of freshness from peers, where the homes of the primary can create one. */
 async function fetchFloor (
   { directory, freshness, homes, leadership }: ProofContext, group: string, since: number, floor?: LogPosition
 ): Promise<LogPosition | undefined> {
@@ -68,49 +63,50 @@
 }
 
 /**
- * Returns an executor at an upstream where a read may run.
+ * Acquires an executor for a read: at the upstream with the lowest cost that satisfies the constraint, otherwise at the
+ * primary.
  *
- * @param context - the rest of the process
- * @param scope - the request
- * @param place - where it may run
- * @param tried - upstreams that have been tried
+ * @param context - services of the entry process
+ * @param scope - the current request
+ * @param constraint - where the read may run
+ * @param triedUpstreams - upstreams to avoid; those without a connection in time are added
  * @returns the executor
  * @throws RequestError with verdict `not-run`
  */
-export async function executorForRead (
-  context: ReadContext, scope: RequestScope, place: ReadPlace, tried: Set<string>
+export async function acquireReadExecutor (
+  context: ReadContext, scope: RequestScope, constraint: ReadConstraint, triedUpstreams: Set<string>
 ): Promise<StatementExecutor> {
-  if (place.type === 'primary') {
-    return await executorAtPrimary(context, scope)
+  if (constraint.type === 'primary') {
+    return await acquirePrimaryExecutor(context, scope)
   }
   for (;;) {
-    const chosen = chooseForRead(context, scope, place.position, tried)
+    const chosen = chooseReadUpstream(context, scope, constraint.position, triedUpstreams)
     if (chosen === undefined) {
-      return await executorAtPrimary(context, scope)
+      return await acquirePrimaryExecutor(context, scope)
     }
     scope.attempts++
-    const { known, used, home } = chosen
+    const { target, resources, home } = chosen
     if (home !== undefined) {
-      return createForwardingExecutor(context, { home, known, used, after: place.position })
+      return createForwardingExecutor(context, { home, target, resources, after: constraint.position })
     }
     try {
       const waitMs = Math.max(1, scope.deadline.leftMs * WAIT_SHARE / 2)
-      const turn = await acquireConnection(context, scope, used, waitMs)
+      const acquired = await acquireConnection(context, scope, resources, waitMs)
       const primaryLease = context.leadership.of(scope.group)
-      const isPrimary = primaryLease?.upstream === known.upstream
+      const isPrimary = primaryLease?.upstream === target.upstream
       return createLocalExecutor(context, {
-        known, used, ...turn, after: place.position, primaryLease: isPrimary ? primaryLease : undefined
+        target, resources, ...acquired, after: constraint.position, primaryLease: isPrimary ? primaryLease : undefined
       })
     } catch (thrown) {
       if (thrown instanceof RequestError && thrown.entry === 'ConnectionLost') {
-        // Its connection attempts fail later than reads give up waiting for one; until then each read would try it.
-        used.health.notReachedInTime()
+        // Connection attempts time out later than reads do; until then every read would try this upstream.
+        resources.health.notReachedInTime()
       }
       scope.deadline.check('not-run', 'looking for an upstream')
       context.logger.log('info', 'read.upstream-unavailable', {
-        id: scope.requestId, group: scope.group, upstream: known.upstream, reason: describeThrown(thrown)
+        id: scope.requestId, group: scope.group, upstream: target.upstream, reason: describeThrown(thrown)
       })
-      tried.add(known.upstream)
+      triedUpstreams.add(target.upstream)
     }
   }
 }
@@ -118,21 +114,21 @@
 /**
  * Serves a single read.
  *
- * @param context - the rest of the process
- * @param scope - the request
- * @param work - the read
- * @param place - where it may run
- * @returns the answer
- * @throws RequestError
+ * @param context - services of the entry process
+ * @param scope - the current request
+ * @param statement - the read
+ * @param constraint - where the read may run
+ * @returns the answer and the upstream that gave it
+ * @throws RequestError if no upstream is available, or if the last attempt got no answer
  */
 export async function serveRead (
-  context: SingleReadContext, scope: RequestScope, work: DataWork, place: ReadPlace
+  context: SingleReadContext, scope: RequestScope, statement: ExecutableStatement, constraint: ReadConstraint
 ): Promise<StatementAnswer & { upstream: string }> {
-  const tried = new Set<string>()
+  const triedUpstreams = new Set<string>()
   for (;;) {
-    const executor = await executorForRead(context, scope, place, tried)
-    const { upstream } = executor.known
-    const outcome = await attemptStatement(context, scope, work, executor)
+    const executor = await acquireReadExecutor(context, scope, constraint, triedUpstreams)
+    const { upstream } = executor.target
+    const outcome = await attemptStatement(context, scope, statement, executor)
     if ('answer' in outcome) {
       recordLag(executor, outcome.answer)
     }
@@ -140,9 +136,9 @@
     if (cause === undefined) {
       return { ...finalAnswerOf(outcome), upstream }
     }
-    const decision = decideRead(cause, {
+    const decision = decideReadRetry(cause, {
       attempts: scope.attempts,
-      primaryOnly: place.type === 'primary',
+      primaryOnly: constraint.type === 'primary',
       deadlinePassed: scope.deadline.passed,
       spendBudget: () => spendRetry(context, scope, upstream, cause)
     })
@@ -152,9 +148,9 @@
     if (decision.mayHaveRun) {
       context.limits.countAgain(scope.organisation ?? '')
     }
-    logRepeat(context, scope, upstream, cause, place)
-    if (decision.elsewhere) {
-      tried.add(upstream)
+    logRetry(context, scope, upstream, cause, constraint)
+    if (decision.excludeUpstream) {
+      triedUpstreams.add(upstream)
     }
     if (decision.pauseMs > 0) {
       await pause(decision.pauseMs)
@@ -162,25 +158,25 @@
   }
 }
 
-/** Takes a retry from the budget. A refusal is logged: the caller's answer does not show that it is the cause. */
+/** Takes a retry from the budget. Logs a refusal, since the answer to the caller does not mention the budget. */
 function spendRetry (
-  { budget, logger }: Pick<EntryContext, 'budget' | 'logger'>, { requestId, group, attempts, home }: RequestScope,
-  upstream: string, cause: RetryCause
+  { retryBudget, logger }: Pick<EntryContext, 'retryBudget' | 'logger'>,
+  { requestId, group, attempts, home }: RequestScope, upstream: string, cause: RetryCause
 ): boolean {
-  if (budget.spend()) {
+  if (retryBudget.spend()) {
     return true
   }
   logger.log('warn', 'retry.refused', {
-    id: requestId, group, upstream, home, reason: retryReason(cause), attempts, balance: budget.balance.toFixed(1)
+    id: requestId, group, upstream, home, reason: retryReason(cause), attempts, balance: retryBudget.balance.toFixed(1)
   })
   return false
 }
 
-function logRepeat (
-  { logger, measures }: Pick<EntryContext, 'logger' | 'measures'>, { requestId, group, attempts, home }: RequestScope, upstream: string,
-  cause: RetryCause, place: ReadPlace
+function logRetry (
+  { logger, metrics }: Pick<EntryContext, 'logger' | 'metrics'>,
+  { requestId, group, attempts, home }: RequestScope, upstream: string, cause: RetryCause, constraint: ReadConstraint
 ): void {
-  measures.retry(retryLabel(cause))
+  metrics.retry(retryLabel(cause))
   logger.log('info', 'read.repeated', {
     id: requestId,
     group,
@@ -188,6 +184,6 @@
     home,
     reason: retryReason(cause),
     attempts,
-    floor: place.type === 'after' ? formatPosition(place.position) : 'primary'
+    floor: constraint.type === 'after' ? formatPosition(constraint.position) : 'primary'
   })
 }
--- a/src/entry/requests/record-answer.ts
+++ b/src/entry/requests/record-answer.ts
@@ -1,24 +1,24 @@
-/** Records what an upstream's answer shows: of the primary's log, of a replica's lag, of the statement's cost. */
+/** Records the log position, the replication lag and the statement's cost that an upstream's answer reports. */
 import type { FailureKind, StatementAnswer } from '../ports/index.ts'
 import type { TimedAnswer } from './run-statement.ts'
 import type { StatementExecutor } from './statement-executor.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
-/** Failures of an upstream that is not the primary, or has lost what it had: its position proves nothing. */
-const NOT_OF_PRIMARY: ReadonlySet<FailureKind | undefined> = new Set<FailureKind>(['read-only', 'lagging'])
+/** Failures after which an answer's position proves nothing: the upstream is not the primary, or its log is behind. */
+const NON_PRIMARY_FAILURES: ReadonlySet<FailureKind | undefined> = new Set<FailureKind>(['read-only', 'lagging'])
 
 /**
- * Records what an answer proves of the primary's log, and how long the statement took.
+ * Records the position of the primary's log that an answer proves, and how long the statement took.
  *
- * @param context - the rest of the process
- * @param scope - the request
- * @param timed - the answer
+ * @param context - services of the entry process
+ * @param scope - the current request
+ * @param timed - the answer and its times
  */
 export function recordAnswer (
   { freshness, costs }: Pick<EntryContext, 'freshness' | 'costs'>, { group, database }: RequestScope,
   { answer, sentAt, ranMs, epoch }: TimedAnswer
 ): void {
-  if (epoch !== undefined && answer.position !== undefined && !NOT_OF_PRIMARY.has(answer.failure?.kind)) {
+  if (epoch !== undefined && answer.position !== undefined && !NON_PRIMARY_FAILURES.has(answer.failure?.kind)) {
     freshness.of(group).record(epoch, sentAt, answer.position)
   }
   if (database !== undefined && answer.signature !== undefined && ranMs > 0) {
@@ -27,18 +27,18 @@
 }
 
 /**
- * Records whether a replica lagged, and how far its log is.
+ * Records the log position of an upstream, and whether it lagged behind the required one.
  *
- * @param executor - where the statement ran
+ * @param executor - executor that ran the statement
  * @param answer - its answer
  */
-export function recordLag ({ used, after }: StatementExecutor, answer: StatementAnswer): void {
+export function recordLag ({ resources, after }: StatementExecutor, answer: StatementAnswer): void {
   if (answer.position !== undefined) {
-    used.health.reachedPosition(answer.position)
+    resources.health.reachedPosition(answer.position)
   }
   if (answer.failure?.kind === 'lagging') {
-    used.health.lagged()
+    resources.health.lagged()
   } else if (answer.failure === undefined && after !== undefined) {
-    used.health.caughtUp()
+    resources.health.caughtUp()
   }
 }
--- a/src/entry/requests/request-log.ts
+++ b/src/entry/requests/request-log.ts
@@ -1,34 +1,35 @@
-/** One line for each request of a caller, and its time in the histograms. */
+/** Logs each request of a caller and records its duration in the metrics. */
 import type { CallerRequest, StatementAnswer } from '../ports/index.ts'
 import { formatPosition } from '../../positions/position.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
-/** What was done for a request; undefined fields were not needed. */
+/** Details of a request for the log; fields that do not apply are undefined. */
 export interface RequestTrace {
   scope?: RequestScope
-  /** Upstream that served it, if one was used. */
+  /** Upstream that answered it, if any. */
   upstream?: string
-  /** Position that a read had to find, or `primary`. */
+  /** Log position that a read required, or `primary`. */
   floor?: string
 }
 
 /**
- * Reports the end of a request. Statements that worksward answers by itself with success get no line.
+ * Logs a finished request and records its duration. Requests that succeed without an upstream are not logged.
  *
- * @param context - the rest of the process
+ * @param context - services of the entry process
  * @param database - the caller's database
  * @param request - the request
  * @param answer - its answer
- * @param trace - what was done for it
- * @param durationMs - the time it took, in milliseconds
+ * @param trace - details of how it was served
+ * @param durationMs - duration of the request, in milliseconds
  */
 export function reportRequest (
-  { logger, measures }: Pick<EntryContext, 'logger' | 'measures'>, database: string, { id, statement }: CallerRequest, answer: StatementAnswer,
-  { scope, upstream, floor }: RequestTrace, durationMs: number
+  { logger, metrics }: Pick<EntryContext, 'logger' | 'metrics'>, database: string,
+  { id, statement }: CallerRequest, answer: StatementAnswer, { scope, upstream, floor }: RequestTrace,
+  durationMs: number
 ): void {
   const { failure, signature, state, position } = answer
   const outcome = failure?.kind ?? 'done'
-  measures.request(`${statement.type} ${outcome}`, durationMs)
+  metrics.request(`${statement.type} ${outcome}`, durationMs)
   if (signature === undefined && failure === undefined) {
     return
   }
--- a/src/entry/requests/serve-forwarded.ts
+++ b/src/entry/requests/serve-forwarded.ts
@@ -1,4 +1,4 @@
-/** Serves statements that other hosts forward to this one, as a home of the upstream where they run. */
+/** Serves statements that other hosts forward to this host as a home of their upstream. */
 import { RequestError } from '../../core/errors/index.ts'
 import { Deadline } from '../../core/time/deadline.ts'
 import type { DesiredStateInForce } from '../desired-state/index.ts'
@@ -10,23 +10,23 @@
 import type { PeerLink } from '../../peers/types.ts'
 import type { Registry } from '../registry/index.ts'
 import { acquireConnection } from './acquire-connection.ts'
-import { decodeStep, decodeWork } from './forwarded-steps.ts'
+import { decodeStep, decodeStatement } from './forwarded-steps.ts'
 import { createForwardedTransactions, type ForwardedTransactions } from './forwarded-transactions.ts'
 import { createLocalExecutor } from './local-executor.ts'
-import { localExecutorAtPrimary, type PrimaryContext } from './primary-access.ts'
+import { acquireLocalPrimaryExecutor, type PrimaryContext } from './primary-access.ts'
 import { recordAnswer } from './record-answer.ts'
-import { NOT_RUN_PAUSE_MS } from './retry-rules.ts'
+import { RETRY_PAUSE_MS } from './retry-rules.ts'
 import type { TimedAnswer } from './run-statement.ts'
 import type { StatementExecutor } from './statement-executor.ts'
 import { runNextStep } from './transaction-steps.ts'
 import type { EntryContext, RequestScope } from './types.ts'
-import { mayTakeWork, RETRY_AFTER_MS, WAIT_SHARE } from './wait-rules.ts'
+import { acceptsNewWork, RETRY_AFTER_MS, WAIT_SHARE } from './wait-rules.ts'
 
 /**
- * Time that a home waits for the version of the desired state by which a statement was forwarded, in milliseconds: one
- * read of the store, and then another home may have it.
+ * How long a home waits for the version of the desired state with which a statement was forwarded, in milliseconds. It
+ * allows for one read of the store; after that the statement is refused, so that another home can be tried.
  */
-const REACH_VERSION_MS = 40
+const VERSION_WAIT_MS = 40
 
 /** Options of {@link serveForwarded}. */
 interface ForwardedOptions {
@@ -34,21 +34,21 @@
   peers: Pick<Peers, 'handle'>
   registry: Pick<Registry, 'current' | 'refresh'>
   desiredState: Pick<DesiredStateInForce, 'reach'>
-  /** Time for which a transaction may be idle between two steps, in milliseconds. */
+  /** Maximum idle time of a transaction between two steps, in milliseconds. */
   idleMs: () => number
-  /** Whether this process has been told to stop. */
+  /** Whether this process is shutting down. */
   isLeaving: () => boolean
 }
 
-/** What the handlers of one process share. */
+/** State shared by the message handlers. */
 interface ForwardedServer extends ForwardedOptions {
   transactions: ForwardedTransactions
 }
 
 /**
- * Serves other hosts.
+ * Registers the handlers of forwarded statements.
  *
- * @param options - links and limits
+ * @param options - services and limits
  * @returns the transactions that are open here for other hosts
  */
 export function serveForwarded (options: ForwardedOptions): Pick<ForwardedTransactions, 'size' | 'drain'> {
@@ -62,9 +62,9 @@
   return transactions
 }
 
-/** Load of the upstream here, and whether this host is about to stop. */
-function reportOf (
-  { isLeaving }: ForwardedServer, { used: { queue } }: StatementExecutor
+/** Returns the load of the upstream on this host, and whether this host is shutting down. */
+function loadReportOf (
+  { isLeaving }: ForwardedServer, { resources: { queue } }: StatementExecutor
 ): Pick<HomeReply, 'load' | 'leaving'> {
   return { load: queue.running + queue.waiting, leaving: isLeaving() }
 }
@@ -72,60 +72,60 @@
 function replyOf (
   server: ForwardedServer, executor: StatementExecutor, { answer, epoch, ranMs }: TimedAnswer
 ): HomeReply {
-  return { answer, epoch, ranMs: Math.round(ranMs), ...reportOf(server, executor) }
+  return { answer, epoch, ranMs: Math.round(ranMs), ...loadReportOf(server, executor) }
 }
 
-/** A single statement, or the first step of a transaction. */
+/** Serves a single statement, or begins a transaction with its first step. */
 async function serveStatement (
-  server: ForwardedServer, question: HomeStatement, link: PeerLink
+  server: ForwardedServer, message: HomeStatement, link: PeerLink
 ): Promise<HomeReply> {
   const { context } = server
-  const { known, scope } = scopeOf(context, question)
-  await reachVersion(server, scope)
-  const executor = await executorFor(server, known, scope, question)
-  if (question.begin !== undefined) {
-    return await serveBegin(server, executor, scope, question, link)
+  const { target, scope } = createScope(context, message)
+  await awaitVersion(server, scope)
+  const executor = await acquireExecutor(server, target, scope, message)
+  if (message.begin !== undefined) {
+    return await serveBegin(server, executor, scope, message, link)
   }
-  const work = decodeWork(question.id, question.step)
-  const timed = await executor.runSingle(scope, work, work.access === 'read')
+  const statement = decodeStatement(message.id, message.step)
+  const timed = await executor.runSingle(scope, statement, statement.access === 'read')
   recordAnswer(context, scope, timed)
   return replyOf(server, executor, timed)
 }
 
 async function serveBegin (
-  server: ForwardedServer, executor: StatementExecutor, scope: RequestScope, question: HomeStatement, link: PeerLink
+  server: ForwardedServer, executor: StatementExecutor, scope: RequestScope, message: HomeStatement, link: PeerLink
 ): Promise<HomeReply> {
   const { context, transactions } = server
-  const step = decodeStep(question.id, question.step)
-  const { begin, first, lost } = await executor.begin(scope, question.begin === 'read-only', step)
-  recordAnswer(context, scope, begin)
-  if (begin.answer.failure !== undefined) {
-    return { begun: begin.answer, ...reportOf(server, executor) }
+  const step = decodeStep(message.id, message.step)
+  const { beginAnswer, firstAnswer, firstError } = await executor.begin(scope, message.begin === 'read-only', step)
+  recordAnswer(context, scope, beginAnswer)
+  if (beginAnswer.answer.failure !== undefined) {
+    return { begun: beginAnswer.answer, ...loadReportOf(server, executor) }
   }
-  if (first === undefined) {
+  if (firstAnswer === undefined) {
     executor.discard()
     return {
-      begun: begin.answer,
-      lost: { verdict: lost!.verdict, reason: lost!.message },
-      ...reportOf(server, executor)
+      begun: beginAnswer.answer,
+      lost: { verdict: firstError!.verdict, reason: firstError!.message },
+      ...loadReportOf(server, executor)
     }
   }
-  const transaction = await transactions.add(executor, scope, first.answer, link)
-  return { ...replyOf(server, executor, first), begun: begin.answer, transaction }
+  const transaction = await transactions.add(executor, scope, firstAnswer.answer, link)
+  return { ...replyOf(server, executor, firstAnswer), begun: beginAnswer.answer, transaction }
 }
 
-/** A further step of a transaction. */
-async function serveStep (server: ForwardedServer, question: HomeStep): Promise<HomeReply> {
+/** Serves another step of an open transaction. */
+async function serveStep (server: ForwardedServer, message: HomeStep): Promise<HomeReply> {
   const { context, transactions } = server
-  const transaction = await transactions.claim(question.transaction)
+  const transaction = await transactions.claim(message.transaction)
   const { executor, scope } = transaction
-  renew(scope, question)
+  updateScope(scope, message)
   try {
-    const timed = await runNextStep(context, scope, executor, decodeStep(question.id, question.step))
-    const kept = await transactions.settle(question.transaction, transaction, timed.answer)
+    const timed = await runNextStep(context, scope, executor, decodeStep(message.id, message.step))
+    const kept = await transactions.settle(message.transaction, transaction, timed.answer)
     return { ...replyOf(server, executor, timed), transaction: kept }
   } catch (thrown) {
-    transactions.discard(question.transaction, transaction)
+    transactions.discard(message.transaction, transaction)
     throw thrown
   }
 }
@@ -135,79 +135,83 @@
 ): Promise<Pick<HomeReply, 'load' | 'leaving'>> {
   const executor = server.transactions.executorOf(number)
   await server.transactions.end(number, 'it was rolled back')
-  return executor === undefined ? { load: 0, leaving: server.isLeaving() } : reportOf(server, executor)
+  return executor === undefined ? { load: 0, leaving: server.isLeaving() } : loadReportOf(server, executor)
 }
 
-function scopeOf (
-  context: Pick<EntryContext, 'directory' | 'drainMs'>, question: HomeStatement
-): { known: KnownUpstream, scope: RequestScope } {
-  const { id, upstream, organisation, version, priority, costMs, leftMs, inTimeMs, values = [] } = question
-  const known = context.directory.get(upstream)
-  if (known === undefined || !mayTakeWork(known, context.drainMs, performance.now())) {
+function createScope (
+  context: Pick<EntryContext, 'directory' | 'drainMs'>, message: HomeStatement
+): { target: KnownUpstream, scope: RequestScope } {
+  const { id, upstream, organisation, version, priority, costMs, leftMs, inTimeMs, values = [] } = message
+  const target = context.directory.get(upstream)
+  if (target === undefined || !acceptsNewWork(target, context.drainMs, performance.now())) {
     throw new RequestError('not-run', 'NoUpstream', {
-      group: known?.group ?? 'unknown', reason: `upstream ${upstream} is leaving`, retryAfterMs: NOT_RUN_PAUSE_MS
+      group: target?.group ?? 'unknown', reason: `upstream ${upstream} is leaving`, retryAfterMs: RETRY_PAUSE_MS
     })
   }
   const scope: RequestScope = {
     requestId: id,
-    group: known.group,
+    group: target.group,
     organisation,
     version,
     priority,
     costMs,
     values: new Map(values),
     deadline: new Deadline(leftMs),
-    inTimeUntil: performance.now() + inTimeMs,
+    softDeadline: performance.now() + inTimeMs,
     attempts: 0,
     triedHomes: new Set()
   }
-  return { known, scope }
+  return { target, scope }
 }
 
 /**
- * Runs nothing by a newer desired state than the one in force here: callers of this host would see an older one after
- * its effect.
+ * Waits until the desired state in force here is as new as the one that applies to the request. Otherwise callers of
+ * this host could be served by an older desired state after the statement has run.
  */
-async function reachVersion (
+async function awaitVersion (
   { desiredState }: ForwardedOptions, { group, version }: RequestScope
 ): Promise<void> {
-  if (!await desiredState.reach(version, REACH_VERSION_MS)) {
+  if (!await desiredState.reach(version, VERSION_WAIT_MS)) {
     const reason = `version ${version} of the desired state is not in force here yet`
-    throw new RequestError('not-run', 'NoUpstream', { group, reason, retryAfterMs: NOT_RUN_PAUSE_MS })
+    throw new RequestError('not-run', 'NoUpstream', { group, reason, retryAfterMs: RETRY_PAUSE_MS })
   }
 }
 
-/** Takes over what a further step says of its request. */
-function renew (scope: RequestScope, { id, leftMs, inTimeMs, values }: HomeStep): void {
+/** Updates the scope of a transaction for its next step. */
+function updateScope (scope: RequestScope, { id, leftMs, inTimeMs, values }: HomeStep): void {
   scope.requestId = id
   scope.deadline = new Deadline(leftMs)
-  scope.inTimeUntil = performance.now() + inTimeMs
+  scope.softDeadline = performance.now() + inTimeMs
   scope.values = values === undefined ? scope.values : new Map(values)
 }
 
-/** Returns an executor on a connection of this host; a statement is never forwarded twice. */
-async function executorFor (
-  { context, registry }: ForwardedOptions, known: KnownUpstream, scope: RequestScope, { epoch, after }: HomeStatement
+/** Acquires an executor on a connection of this host; a statement is never forwarded twice. */
+async function acquireExecutor (
+  { context, registry }: ForwardedOptions, target: KnownUpstream, scope: RequestScope, { epoch, after }: HomeStatement
 ): Promise<StatementExecutor> {
-  const used = context.pools.of(known)
+  const resources = context.pools.of(target)
   if (epoch === undefined) {
-    const turn = await acquireConnection(context, scope, used, scope.deadline.leftMs * WAIT_SHARE)
-    const primaryLease = context.leadership.of(known.group)
+    const acquired = await acquireConnection(context, scope, resources, scope.deadline.leftMs * WAIT_SHARE)
+    const primaryLease = context.leadership.of(target.group)
     return createLocalExecutor(context, {
-      known, used, ...turn, after, primaryLease: primaryLease?.upstream === known.upstream ? primaryLease : undefined
+      target,
+      resources,
+      ...acquired,
+      after,
+      primaryLease: primaryLease?.upstream === target.upstream ? primaryLease : undefined
     })
   }
-  if ((registry.current.group(known.group).row?.epoch ?? 0) < epoch) {
+  if ((registry.current.group(target.group).row?.epoch ?? 0) < epoch) {
     await registry.refresh()
   }
-  // The requester waits for a primary; this host only reports whether it can work there at once.
-  const holdsPrimaryLease = context.leadership.of(known.group)?.upstream === known.upstream
+  // The forwarding host waits for a primary; this host only reports whether it can use the primary right away.
+  const holdsPrimaryLease = context.leadership.of(target.group)?.upstream === target.upstream
   const executor = holdsPrimaryLease
-    ? await localExecutorAtPrimary(context, scope, known, scope.deadline.leftMs * WAIT_SHARE)
-    : { notYet: 'no right to work at the primary' }
-  if ('notYet' in executor) {
+    ? await acquireLocalPrimaryExecutor(context, scope, target, scope.deadline.leftMs * WAIT_SHARE)
+    : { unavailableReason: 'no right to work at the primary' }
+  if ('unavailableReason' in executor) {
     throw new RequestError('not-run', 'NoUpstream', {
-      group: known.group, reason: executor.notYet, retryAfterMs: RETRY_AFTER_MS
+      group: target.group, reason: executor.unavailableReason, retryAfterMs: RETRY_AFTER_MS
     })
   }
   return executor
--- a/src/entry/requests/session-names.ts
+++ b/src/entry/requests/session-names.ts
@@ -1,30 +1,30 @@
-/** The values and prepared statements of a caller's session. */
+/** Session values and prepared statements of a caller's session. */
 import type { CallerStatement, PreparedShape } from '../ports/index.ts'
-import type { DataWork } from './types.ts'
+import type { ExecutableStatement } from './types.ts'
 
-/** Values, and prepared statements, that a session may have; more is refused, so that memory stays bounded. */
+/** Maximum number of session values, and of prepared statements, per session. */
 export const MAXIMUM_NAMES = 256
 
-/** A statement of a caller that an upstream must run. */
+/** A caller's statement that runs at an upstream. */
 type DataStatement = Extract<CallerStatement, { type: 'data' | 'execute' }>
 
-/** The names of a session. */
+/** Session values and prepared statements, by name. */
 export interface SessionNames {
   readonly values: ReadonlyMap<string, string>
-  /** Sets a value; returns whether there was room for it. */
+  /** Sets a value; returns false if the session has reached {@link MAXIMUM_NAMES}. */
   setValue: (name: string, value: string) => boolean
-  /** Adds a prepared statement; returns whether there was room for it. */
+  /** Adds a prepared statement; returns false if the session has reached {@link MAXIMUM_NAMES}. */
   prepare: (name: string, prepared: PreparedShape) => boolean
   deallocate: (name: string) => void
   isPrepared: (name: string) => boolean
   /**
-   * Returns what an upstream must run for a statement.
+   * Resolves a caller's statement to its text, or to the prepared statement that it executes.
    *
    * @param requestId - id of the request
-   * @param statement - the statement; the name that it executes is prepared
-   * @returns the work
+   * @param statement - the statement; must not execute a name that is not prepared
+   * @returns the statement to run at an upstream
    */
-  workOf: (requestId: string, statement: DataStatement) => DataWork
+  toExecutable: (requestId: string, statement: DataStatement) => ExecutableStatement
 }
 
 function addName<Value> (map: Map<string, Value>, name: string, value: Value): boolean {
@@ -36,7 +36,7 @@
 }
 
 /**
- * Creates the names of a new session.
+ * Creates the empty names of a new session.
  *
  * @returns the names
  */
@@ -49,7 +49,7 @@
     prepare: (name, shape) => addName(prepared, name, shape),
     deallocate: (name) => { prepared.delete(name) },
     isPrepared: (name) => prepared.has(name),
-    workOf: (requestId, statement) => {
+    toExecutable: (requestId, statement) => {
       if (statement.type === 'data') {
         const { access, text } = statement
         return { type: 'data', requestId, access, text }
--- a/src/entry/requests/session-state.ts
+++ b/src/entry/requests/session-state.ts
@@ -1,4 +1,4 @@
-/** What the requests of one session share: its caller, its values, its floor, and the trace of the current request. */
+/** State shared by the requests of a session, and the scope of each request. */
 import { Deadline } from '../../core/time/deadline.ts'
 import { laterPosition, type LogPosition } from '../../positions/position.ts'
 import type { CallerLink, DesiredState, StatementAnswer } from '../ports/index.ts'
@@ -7,22 +7,22 @@
 import { createSessionNames, type SessionNames } from './session-names.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 
-/** State of a session. */
+/** State that the requests of a session share. */
 export interface SessionState {
   readonly context: EntryContext
   readonly link: CallerLink
   readonly desiredState: () => DesiredState | undefined
   readonly names: SessionNames
-  /** Position that a read must find to see the session's own writes. */
+  /** Log position of the session's last acknowledged write; its own reads must see at least this position. */
   floor: LogPosition | undefined
-  /** What was done for the current request. */
+  /** Details of the current request for the log. */
   trace: RequestTrace
 }
 
 /**
  * Creates the state of a new session.
  *
- * @param options - the caller and the rest of the process
+ * @param options - the caller's link, the services and the desired state
  * @returns the state
  */
 export function createSessionState (
@@ -32,7 +32,7 @@
 }
 
 /**
- * Raises the floor of a session to the position of a write that was acknowledged.
+ * Raises the session's floor to the position of an acknowledged write. Never lowers it.
  *
  * @param session - the session
  * @param answer - the upstream's answer
@@ -44,14 +44,14 @@
 }
 
 /**
- * Creates the scope of the current request, and traces it. Its deadline starts here.
+ * Creates the scope of a request, starts its deadline and resets the session's trace.
  *
  * @param session - the session
  * @param requestId - id of the request
- * @param callerRoute - route and organisation by which it is served
+ * @param callerRoute - route and organisation that apply to the request
  * @returns the scope
  */
-export function startScope (
+export function startRequestScope (
   session: SessionState, requestId: string, { route, organisation }: CallerRoute
 ): RequestScope {
   const scope: RequestScope = {
@@ -64,7 +64,7 @@
     costMs: session.context.costs.of(route.database),
     values: session.names.values,
     deadline: new Deadline(route.timeoutMs),
-    inTimeUntil: performance.now() + route.targetMs,
+    softDeadline: performance.now() + route.targetMs,
     attempts: 0,
     triedHomes: new Set()
   }
--- a/src/entry/requests/session-transaction.ts
+++ b/src/entry/requests/session-transaction.ts
@@ -1,44 +1,42 @@
 /**
- * The transaction of a caller's session, from its begin to its end.
- *
- * Who may go on with it? The caller whose key its organisation still holds; otherwise it is rolled back. What is
- * answered in one that has failed? The reason, unless an earlier answer has shown the failure; after that only a
- * rollback is taken.
+ * The transaction of a caller's session, from begin to commit or rollback. A statement or commit is refused if the
+ * caller's key no longer belongs to the organisation for which the transaction began. The first statement after a
+ * failure reports the reason; later ones are refused until the caller rolls back.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { StatementAnswer, TransactionState } from '../ports/index.ts'
 import { doneAnswer, failureAnswer, failureOf } from './answers.ts'
-import { findCallerRoute, mayGoOn } from './caller-route.ts'
-import { placeRead } from './reads.ts'
-import { raiseFloor, startScope, type SessionState } from './session-state.ts'
+import { findCallerRoute, mayContinue } from './caller-route.ts'
+import { resolveReadConstraint } from './reads.ts'
+import { raiseFloor, startRequestScope, type SessionState } from './session-state.ts'
 import { createTransaction, type CallerTransaction } from './transaction.ts'
-import type { DataWork } from './types.ts'
+import type { ExecutableStatement } from './types.ts'
 
 /** The transaction of a session, if one is open. */
 export interface SessionTransaction {
   readonly state: TransactionState
   readonly isOpen: boolean
-  /** Begins one; nothing is sent before its first statement. Throws RequestError when the caller is not served. */
+  /** Begins a transaction without sending anything yet. Throws RequestError if the caller may not begin one. */
   begin: (readOnly: boolean) => Promise<StatementAnswer>
-  /** Runs a statement in the one that is open. */
-  execute: (work: DataWork) => Promise<StatementAnswer>
+  /** Runs a statement in the open transaction. */
+  execute: (statement: ExecutableStatement) => Promise<StatementAnswer>
   commit: (requestId: string, text: string) => Promise<StatementAnswer>
   rollBack: () => StatementAnswer
-  /** The answer to a statement in one that has failed; undefined when it has not. */
+  /** Returns the refusal of a statement if the transaction has failed; otherwise undefined. */
   refuseIfFailed: () => StatementAnswer | undefined
-  /** Records that the caller has had an answer which shows that the transaction has failed. */
+  /** Records that an answer has told the caller that the transaction has failed. */
   failureReported: () => void
-  /** Ends the open one from this side; the next statement is refused. */
+  /** Marks the open transaction as failed and rolls it back; the next statement fails with the reason. */
   abort: (reason: string) => void
-  /** Rolls back the open one, if any; nobody waits for an answer. */
+  /** Rolls back the open transaction, if any, without waiting for it. */
   abandon: () => void
-  /** Forgets the open one after its rollback: the caller's connection is gone. */
-  forget: () => void
+  /** Drops the open transaction after the caller's connection has closed. */
+  clear: () => void
 }
 
-/** A transaction goes on by the route with which it began, but not for a caller whose key has changed hands. */
+/** Aborts the transaction if the caller's key no longer belongs to its organisation. */
 function ensureKeyHeld ({ desiredState, link }: SessionState, open: CallerTransaction): void {
-  if (!mayGoOn(desiredState(), open, link.keyDigest)) {
+  if (!mayContinue(desiredState(), open, link.keyDigest)) {
     const reason = 'its organisation does not hold its key any more'
     open.abort(reason)
     throw new RequestError('not-run', 'TransactionLost', { reason })
@@ -54,20 +52,20 @@
     route,
     organisation,
     readOnly,
-    place: readOnly
-      ? await placeRead(context, route.group, route.freshness, performance.now(), floor)
+    constraint: readOnly
+      ? await resolveReadConstraint(context, route.group, route.freshness, performance.now(), floor)
       : { type: 'primary' },
     idleMs: desiredState()?.transactionIdleMs ?? route.timeoutMs
   })
 }
 
-async function executeIn (
-  session: SessionState, open: CallerTransaction, work: DataWork
+async function executeInTransaction (
+  session: SessionState, open: CallerTransaction, statement: ExecutableStatement
 ): Promise<StatementAnswer> {
-  const scope = startScope(session, work.requestId, open)
+  const scope = startRequestScope(session, statement.requestId, open)
   try {
     ensureKeyHeld(session, open)
-    return await open.execute(scope, work)
+    return await open.execute(scope, statement)
   } catch (thrown) {
     if (!open.begun) {
       session.context.limits.giveBack(open.organisation)
@@ -78,10 +76,10 @@
   }
 }
 
-async function commitOf (
+async function commitTransaction (
   session: SessionState, ending: CallerTransaction, requestId: string, text: string
 ): Promise<StatementAnswer> {
-  const scope = startScope(session, requestId, ending)
+  const scope = startRequestScope(session, requestId, ending)
   session.trace.upstream = ending.upstream
   try {
     ensureKeyHeld(session, ending)
@@ -96,10 +94,10 @@
 }
 
 /**
- * Creates the transaction state of a new session.
+ * Creates the transaction of a session; initially none is open.
  *
  * @param session - the session
- * @returns the state: no transaction is open
+ * @returns the transaction
  */
 export function createSessionTransaction (session: SessionState): SessionTransaction {
   let open: CallerTransaction | undefined
@@ -125,7 +123,7 @@
       failureReported = false
       return doneAnswer('open')
     },
-    execute: async (work) => await executeIn(session, open!, work),
+    execute: async (statement) => await executeInTransaction(session, open!, statement),
     commit: async (requestId, text) => {
       const ending = open
       open = undefined
@@ -134,7 +132,7 @@
       }
       return ending.failed
         ? failureAnswer('aborted', 'the transaction had failed; it was rolled back', 'idle')
-        : await commitOf(session, ending, requestId, text)
+        : await commitTransaction(session, ending, requestId, text)
     },
     rollBack: () => {
       if (open === undefined) {
@@ -148,6 +146,6 @@
     failureReported: () => { failureReported = true },
     abort: (reason) => open?.abort(reason),
     abandon: () => open?.rollBack(),
-    forget: () => { open = undefined }
+    clear: () => { open = undefined }
   }
 }
--- a/src/entry/requests/session.ts
+++ b/src/entry/requests/session.ts
@@ -1,4 +1,4 @@
-/** One caller's session: takes its requests one after the other, and dispatches them by the type of the statement. */
+/** A caller's session: serves its requests in sequence and dispatches them by the type of the statement. */
 import { RequestError } from '../../core/errors/index.ts'
 import type {
   CallerHandler, CallerLink, CallerRequest, CallerStatement, DesiredState, StatementAnswer
@@ -8,24 +8,24 @@
 import { MAXIMUM_NAMES } from './session-names.ts'
 import { createSessionState, type SessionState } from './session-state.ts'
 import { createSessionTransaction, type SessionTransaction } from './session-transaction.ts'
-import { serveSingle } from './single-statement.ts'
-import type { DataWork, EntryContext } from './types.ts'
+import { serveSingleStatement } from './single-statement.ts'
+import type { ExecutableStatement, EntryContext } from './types.ts'
 import { RETRY_AFTER_MS } from './wait-rules.ts'
 
 /**
- * Time that a request waits for the first desired state of a process that has just started, in milliseconds: some reads
- * of the store. Without it callers would be told after a loss of power that their database is not declared.
+ * How long a request waits for the first desired state after the process has started, in milliseconds. Without the wait
+ * callers would be told that their database is not declared.
  */
-const STATE_WAIT_MS = 400
+const DESIRED_STATE_WAIT_MS = 400
 
 /** Options of {@link createSession}. */
 interface SessionOptions {
   context: EntryContext
   link: CallerLink
   desiredState: () => DesiredState | undefined
-  /** Waits for the first desired state, for a bounded time; returns whether there is one. */
-  stateKnown: (timeoutMs: number) => Promise<boolean>
-  /** Called at each request's end. */
+  /** Waits for the first desired state until a timeout; returns whether one is known. */
+  waitForDesiredState: (timeoutMs: number) => Promise<boolean>
+  /** Called after each request with its outcome. */
   onDone: (outcome: string, durationMs: number) => void
   onClose: () => void
 }
@@ -36,25 +36,24 @@
   /** Time without a request or an open transaction, in milliseconds. */
   readonly idleMs: number
   readonly inTransaction: boolean
-  /** Ends the open transaction from this side. */
+  /** Rolls back the open transaction; the caller's next statement fails with the reason. */
   abortTransaction: (reason: string) => void
-  /** Ends the connection, after the answer in progress. */
+  /** Closes the connection after the answer in progress. */
   end: () => void
 }
 
-/** Serves a type of statement; `id` is the id of the request. */
+/** Handlers by type of statement; `id` is the request id. */
 type StatementHandlers = {
   [Type in CallerStatement['type']]:
   (statement: Extract<CallerStatement, { type: Type }>, id: string) => Promise<StatementAnswer> | StatementAnswer
 }
 
-/** What each type of statement does in a session. */
 function createHandlers (session: SessionState, transaction: SessionTransaction): StatementHandlers {
   const { names } = session
-  const run = async (work: () => DataWork): Promise<StatementAnswer> =>
+  const run = async (resolve: () => ExecutableStatement): Promise<StatementAnswer> =>
     transaction.refuseIfFailed() ?? (transaction.isOpen
-      ? await transaction.execute(work())
-      : await serveSingle(session, work()))
+      ? await transaction.execute(resolve())
+      : await serveSingleStatement(session, resolve()))
   const addName = (add: () => boolean): StatementAnswer => {
     const refusal = transaction.refuseIfFailed()
     if (refusal !== undefined) {
@@ -68,9 +67,9 @@
     begin: async ({ readOnly }) => await transaction.begin(readOnly),
     commit: async ({ text }, id) => await transaction.commit(id, text),
     rollback: () => transaction.rollBack(),
-    data: async (statement, id) => await run(() => names.workOf(id, statement)),
+    data: async (statement, id) => await run(() => names.toExecutable(id, statement)),
     execute: async (statement, id) => names.isPrepared(statement.name)
-      ? await run(() => names.workOf(id, statement))
+      ? await run(() => names.toExecutable(id, statement))
       : failureAnswer('unknown-statement', `no statement '${statement.name}' is prepared`, transaction.state),
     set: ({ name, value }) => addName(() => names.setValue(name, value)),
     prepare: ({ name, prepared }) => addName(() => names.prepare(name, prepared)),
@@ -82,24 +81,24 @@
   }
 }
 
-/** A process that has just started does not know yet which databases are declared. */
-async function awaitDesiredState ({ link, desiredState, stateKnown }: SessionOptions): Promise<void> {
-  if (desiredState() === undefined && !await stateKnown(STATE_WAIT_MS)) {
+/** Waits until a process that has just started knows which databases are declared. */
+async function awaitDesiredState ({ link, desiredState, waitForDesiredState }: SessionOptions): Promise<void> {
+  if (desiredState() === undefined && !await waitForDesiredState(DESIRED_STATE_WAIT_MS)) {
     throw new RequestError('not-run', 'NoUpstream', {
       group: link.database, reason: 'no desired state is known here yet', retryAfterMs: RETRY_AFTER_MS
     })
   }
 }
 
-/** Whether an upstream has run the statement with success; an answer of this process shows nothing of its room. */
-function isServed ({ signature, failure }: StatementAnswer): boolean {
+/** Reports whether an upstream ran the statement successfully; only its answers carry a signature. */
+function succeededAtUpstream ({ signature, failure }: StatementAnswer): boolean {
   return signature !== undefined && failure === undefined
 }
 
 /**
  * Creates a session.
  *
- * @param options - the caller and the rest of the process
+ * @param options - the caller's link, the services and callbacks
  * @returns the session
  */
 export function createSession (options: SessionOptions): Session {
@@ -111,7 +110,7 @@
   let closed = false
   let idleSince = performance.now()
 
-  const answerOf = async ({ id, statement }: CallerRequest): Promise<StatementAnswer> => {
+  const executeRequest = async ({ id, statement }: CallerRequest): Promise<StatementAnswer> => {
     try {
       await awaitDesiredState(options)
       const handle = handlers[statement.type] as (statement: CallerStatement, id: string) => Promise<StatementAnswer>
@@ -124,12 +123,12 @@
     const startedAt = performance.now()
     busy = true
     session.trace = {}
-    const answer = await answerOf(request)
+    const answer = await executeRequest(request)
     busy = false
     idleSince = performance.now()
-    if (isServed(answer)) {
-      // Counted on the caller's host, which takes the retries: a home repeats nothing for the hosts that ask it.
-      context.budget.earn()
+    if (succeededAtUpstream(answer)) {
+      // Only the caller's host retries statements, so only that host earns retries; a home does not.
+      context.retryBudget.earn()
     }
     if (answer.state === 'failed') {
       transaction.failureReported()
@@ -151,7 +150,7 @@
       closed = true
       transaction.abandon()
       if (!busy) {
-        transaction.forget()
+        transaction.clear()
       }
       options.onClose()
     },
--- a/src/entry/requests/statement-costs.ts
+++ b/src/entry/requests/statement-costs.ts
@@ -1,39 +1,39 @@
 /**
- * How long does a statement of a database take at an upstream? Input: times of earlier ones, in milliseconds. Rule:
- * their running mean. It decides whose turn comes first at a busy upstream.
+ * Estimates how long a statement of a database runs at an upstream, as an exponential moving average of earlier ones.
+ * The queue of a busy upstream orders statements by these estimates.
  */
 
-/** Weight of a new time in the running mean. */
+/** Weight of a new sample in the moving average. */
 const SAMPLE_WEIGHT = 0.05
-/** Time that is expected while none was recorded, in milliseconds. */
-const UNKNOWN_MS = 10
-/** Databases that are remembered, so that memory stays bounded; the oldest is dropped. */
-const REMEMBERED = 4096
+/** Estimate for a database without samples, in milliseconds. */
+const DEFAULT_COST_MS = 10
+/** Maximum number of databases with an estimate; beyond it the one added first is dropped. */
+const MAXIMUM_DATABASES = 4096
 
-/** Expected times of statements. */
+/** Estimated run times of statements by database. */
 export interface StatementCosts {
-  /** Expected time of a statement of a database, in milliseconds. */
+  /** Returns the estimated run time of a statement, in milliseconds. */
   of: (database: string) => number
-  /** Records the time that a statement took at an upstream, in milliseconds. */
+  /** Records the measured run time of a statement, in milliseconds. */
   record: (database: string, durationMs: number) => void
 }
 
 /**
- * Creates the costs; nothing has been seen yet.
+ * Creates the estimates, without any samples.
  *
- * @returns the costs
+ * @returns the estimates
  */
 export function createStatementCosts (): StatementCosts {
   const means = new Map<string, number>()
   return {
-    of: (database) => means.get(database) ?? UNKNOWN_MS,
+    of: (database) => means.get(database) ?? DEFAULT_COST_MS,
     record: (database, durationMs) => {
-      const before = means.get(database)
+      const mean = means.get(database)
       const [oldest] = means.keys()
-      if (before === undefined && means.size >= REMEMBERED && oldest !== undefined) {
+      if (mean === undefined && means.size >= MAXIMUM_DATABASES && oldest !== undefined) {
         means.delete(oldest)
       }
-      means.set(database, before === undefined ? durationMs : before + SAMPLE_WEIGHT * (durationMs - before))
+      means.set(database, mean === undefined ? durationMs : mean + SAMPLE_WEIGHT * (durationMs - mean))
     }
   }
 }
--- a/src/entry/requests/statement-executor.ts
+++ b/src/entry/requests/statement-executor.ts
@@ -1,74 +1,74 @@
 /**
- * What executes the statements of a request at one upstream: a leased connection of this host (`local-executor.ts`), or
- * a home of the upstream that statements are forwarded to (`forwarding-executor.ts`).
+ * Interface for executing the statements of a request at one upstream, either on a leased connection of this host
+ * (`local-executor.ts`) or by forwarding them to a home of the upstream (`forwarding-executor.ts`).
  */
 import type { RequestError } from '../../core/errors/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import type { UsedUpstream } from '../pools/index.ts'
 import type { LogPosition } from '../../positions/position.ts'
 import type { TimedAnswer } from './run-statement.ts'
-import type { DataWork, RequestScope } from './types.ts'
+import type { ExecutableStatement, RequestScope } from './types.ts'
 
-/** Time that a rollback may take before the connection is closed instead, in milliseconds. No caller waits for it. */
+/** Timeout of a rollback, in milliseconds, after which the connection is closed. No caller waits for it. */
 export const ROLLBACK_MS = 1500
 
 /** A step of a transaction. */
 export type TransactionStep =
-  | { type: 'work', work: DataWork }
+  | { type: 'statement', statement: ExecutableStatement }
   | { type: 'commit', requestId: string, text: string }
 
-/** Outcome of beginning a transaction, and of its first step. */
-export interface Begun {
-  /** Answer to the beginning; with a failure nothing was begun, and the executor has been released. */
-  begin: TimedAnswer
-  /** Answer to the first step. */
-  first?: TimedAnswer
-  /** Why the first step has no answer. */
-  lost?: RequestError
+/** Outcome of the begin of a transaction and of its first step. */
+export interface BeginResult {
+  /** Answer to the begin. If it is a failure, no transaction is open and the executor has been released. */
+  beginAnswer: TimedAnswer
+  /** Answer to the first step, if there is one. */
+  firstAnswer?: TimedAnswer
+  /** Error of a first step without an answer. */
+  firstError?: RequestError
 }
 
 /** Executes one statement or one transaction at an upstream. */
 export interface StatementExecutor {
-  readonly known: KnownUpstream
-  readonly used: UsedUpstream
-  /** Position that the upstream's log must have reached; undefined where only the primary will do. */
+  readonly target: KnownUpstream
+  readonly resources: UsedUpstream
+  /** Position that the upstream's log must have reached; undefined if the statements require the primary. */
   readonly after?: LogPosition
-  /** Host that has the connection; undefined when it is this one. */
+  /** Name of the home that statements are forwarded to; undefined if the connection belongs to this host. */
   readonly home?: string
-  /** Why the transaction that is open here cannot go on; undefined while it can. */
+  /** Reason why the open transaction cannot continue; undefined while it can. */
   readonly brokenBecause: string | undefined
   /**
    * Runs a single statement and releases the executor.
    *
-   * @param scope - the request
-   * @param work - the statement
-   * @param mayAbandon - whether it may be given up while it may be running
+   * @param scope - the current request
+   * @param statement - the statement
+   * @param mayAbandon - whether the executor may stop waiting for the answer, although the statement may still run
    * @returns the answer
    * @throws RequestError with the verdict on whether it may have run
    */
-  runSingle: (scope: RequestScope, work: DataWork, mayAbandon: boolean) => Promise<TimedAnswer>
+  runSingle: (scope: RequestScope, statement: ExecutableStatement, mayAbandon: boolean) => Promise<TimedAnswer>
   /**
    * Begins a transaction and runs its first step.
    *
-   * @param scope - the request
-   * @param readOnly - whether the transaction only reads
+   * @param scope - the current request
+   * @param readOnly - whether the transaction is read-only
    * @param step - the first step
    * @returns the outcome of both
-   * @throws RequestError when it has not begun; the executor has been released
+   * @throws RequestError if no transaction has begun; the executor has been released
    */
-  begin: (scope: RequestScope, readOnly: boolean, step: TransactionStep) => Promise<Begun>
+  begin: (scope: RequestScope, readOnly: boolean, step: TransactionStep) => Promise<BeginResult>
   /**
-   * Runs a further step of the transaction that is open here.
+   * Runs another step of the open transaction.
    *
-   * @param scope - the request
+   * @param scope - the current request
    * @param step - the step
    * @returns the answer
-   * @throws RequestError; the transaction is lost, and the caller discards the executor
+   * @throws RequestError if the transaction is lost; the caller must discard the executor
    */
   step: (scope: RequestScope, step: TransactionStep) => Promise<TimedAnswer>
   /** Releases the executor after a transaction has ended. */
   release: () => void
-  /** Abandons the connection: the state of what it carries is in doubt. */
+  /** Abandons the open transaction, whose state is unknown. */
   discard: () => void
   /** Rolls back the open transaction and releases the executor; never rejects. */
   rollBack: () => Promise<void>
--- a/src/entry/requests/stop-sessions.ts
+++ b/src/entry/requests/stop-sessions.ts
@@ -1,71 +1,65 @@
 /**
- * Ends callers' sessions during a planned stop.
- *
- * When is a session ended? Inputs, in milliseconds: the time since the order to stop, the time granted in all, how long
- * the session has been idle; and whether it is in a transaction. An idle session is ended once the balancer has noticed
- * the stop; a transaction is rolled back from half of the granted time on; {@link STOP_RESERVE_MS} before the end the
- * sessions that are left are waited for no longer.
+ * Ends callers' sessions during a graceful shutdown. Idle sessions are closed once the load balancer has noticed the
+ * shutdown, and open transactions are aborted after half of the grace period. {@link STOP_RESERVE_MS} before its end
+ * the wait for the remaining sessions stops.
  */
 import { pause } from '../../core/time/deadline.ts'
 import type { Session } from './session.ts'
 
-/** Time after the order to stop at which idle sessions are ended, in milliseconds: the balancer has noticed by then. */
-const STOP_IDLE_MS = 2200
-/** Time before the kill at which sessions are waited for no longer, in milliseconds. */
+/** Time after which the load balancer has noticed the shutdown and idle sessions are closed, in milliseconds. */
+const BALANCER_NOTICE_MS = 2200
+/** Part of the grace period reserved for the rest of the shutdown, in milliseconds. */
 const STOP_RESERVE_MS = 900
-/**
- * Time without a request after which a session is ended while stopping, in milliseconds; callers send the next one
- * sooner or later.
- */
-const STOP_QUIET_MS = 150
-/** Time between two checks of what is left while stopping, in milliseconds. */
+/** Idle time after which a session is closed during shutdown, in milliseconds. */
+const SESSION_IDLE_MS = 150
+/** Interval between checks for open sessions or transactions during shutdown, in milliseconds. */
 export const STOP_POLL_MS = 50
 
-/** What a session shows of itself while the process stops. */
+/** The part of a session that shutdown needs. */
 type StoppingSession = Pick<Session, 'inTransaction' | 'idleMs' | 'abortTransaction' | 'end'>
 
 /** Options of {@link stopSessions}. */
 interface StopOptions {
   sessions: ReadonlySet<StoppingSession>
-  /** Time granted in all, in milliseconds. */
+  /** Length of the grace period, in milliseconds. */
   graceMs: number
-  /** Takes no further connections. */
+  /** Stops accepting connections. */
   stopAccepting: () => void
-  /** Ends the transactions that are open for other hosts, within a time in milliseconds. */
+  /** Waits for transactions of other hosts to finish, and ends those still open after `endMs` milliseconds. */
   drainForwarded: (endMs: number) => Promise<void>
 }
 
-/** Ends what can be ended without harm: idle sessions, and from half of the time on idle transactions too. */
-function endSome (sessions: ReadonlySet<StoppingSession>, elapsedMs: number, graceMs: number): void {
+/** Closes idle sessions and, after half of the grace period, aborts open transactions. */
+function endIdleSessions (sessions: ReadonlySet<StoppingSession>, elapsedMs: number, graceMs: number): void {
   for (const session of sessions) {
     if (session.inTransaction && elapsedMs > graceMs / 2) {
       session.abortTransaction('this host is stopping')
     }
-    if (session.idleMs > STOP_QUIET_MS && elapsedMs > STOP_IDLE_MS) {
+    if (session.idleMs > SESSION_IDLE_MS && elapsedMs > BALANCER_NOTICE_MS) {
       session.end()
     }
   }
 }
 
 /**
- * Ends sessions until none is left or the time is over.
+ * Ends sessions until none is left or the grace period is nearly over.
  *
- * @param options - the sessions and the time
+ * @param options - the sessions and the grace period
  */
 export async function stopSessions (
   { sessions, graceMs, stopAccepting, drainForwarded }: StopOptions
 ): Promise<void> {
   const startedAt = performance.now()
   const elapsed = (): number => performance.now() - startedAt
-  const emptyUntil = async (leastMs: number): Promise<void> => {
-    while (elapsed() < graceMs - STOP_RESERVE_MS && (sessions.size > 0 || elapsed() < leastMs)) {
-      endSome(sessions, elapsed(), graceMs)
+  const drainUntil = async (minimumMs: number): Promise<void> => {
+    while (elapsed() < graceMs - STOP_RESERVE_MS && (sessions.size > 0 || elapsed() < minimumMs)) {
+      endIdleSessions(sessions, elapsed(), graceMs)
       await pause(STOP_POLL_MS)
     }
   }
-  await emptyUntil(STOP_IDLE_MS)
-  // Callers that connected at the last moment are served before the process ends.
+  await drainUntil(BALANCER_NOTICE_MS)
+  // Sessions accepted just before the listener closes are still served.
   stopAccepting()
-  await emptyUntil(elapsed() + STOP_QUIET_MS)
+  await drainUntil(elapsed() + SESSION_IDLE_MS)
   await drainForwarded(Math.max(0, graceMs / 2 - elapsed()))
 }
--- a/src/entry/requests/transaction-pin.ts
+++ b/src/entry/requests/transaction-pin.ts
@@ -1,43 +1,43 @@
 /**
- * The executor that an open transaction stays with, why the transaction has failed, and the timer that ends it when its
- * caller is idle for too long.
+ * Pins an open transaction to one executor. Tracks whether the transaction has failed, and rolls it back if its caller
+ * is idle for too long.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { StatementExecutor } from './statement-executor.ts'
 
-/** What a transaction is pinned to. */
+/** Binding of a transaction to its executor. */
 interface TransactionPin {
-  /** Executor of the transaction; undefined before it has begun and after it has ended. */
+  /** Executor of the transaction; undefined before its begin and after its end. */
   readonly executor: StatementExecutor | undefined
-  /** Why the transaction can only be rolled back; undefined while it can go on. */
+  /** Reason why the transaction has failed; undefined while it can continue. */
   readonly failedBecause: string | undefined
-  /** Pins the transaction to the executor where it has begun. */
+  /** Pins the transaction to the executor on which it has begun. */
   pin: (executor: StatementExecutor) => void
-  /** Detaches the executor, which the caller then releases, discards or rolls back. */
+  /** Detaches the executor; the caller must release, discard or roll it back. */
   detach: () => StatementExecutor | undefined
-  /** Marks the transaction as failed and rolls it back; a step in progress ends first. */
+  /** Marks the transaction as failed. Rolls it back unless a step is running. */
   fail: (reason: string) => void
-  /** Rolls back what is open; nobody waits for it. */
+  /** Detaches the executor and rolls it back, without waiting for the result. */
   rollBack: () => void
-  /** Discards the executor, whose state is in doubt, and marks the transaction as failed. */
+  /** Discards the executor, whose transaction state is unknown, and marks the transaction as failed. */
   discard: (reason: string) => void
-  /** Starts the time for which the transaction may be idle. */
+  /** Starts the idle timer; on timeout the transaction fails. */
   startIdleTimer: () => void
   stopIdleTimer: () => void
   /**
-   * Checks that the transaction can go on.
+   * Checks that the transaction can continue.
    *
-   * @throws RequestError `TransactionLost`
+   * @throws RequestError `TransactionLost` if it has failed or its executor is broken
    */
   ensureUsable: () => void
-  /** Runs a step; a failure meanwhile is rolled back by whoever ran the step. */
+  /** Runs a step. If the transaction fails meanwhile, the caller rolls it back after the step. */
   whileRunning: <Result>(run: () => Promise<Result>) => Promise<Result>
 }
 
 /**
- * Returns the error of a transaction that can only be rolled back.
+ * Returns the error for a statement in a failed transaction.
  *
- * @param reason - why
+ * @param reason - why the transaction has failed
  * @returns the error
  */
 export function transactionLost (reason: string): RequestError {
@@ -47,7 +47,7 @@
 /**
  * Creates the pin of a transaction that has not begun.
  *
- * @param idleMs - time for which the transaction may be idle between two steps, in milliseconds
+ * @param idleMs - maximum idle time between two steps, in milliseconds
  * @returns the pin
  */
 export function createTransactionPin (idleMs: number): TransactionPin {
@@ -67,7 +67,7 @@
   }
   const fail = (reason: string): void => {
     failedBecause ??= reason
-    // A connection takes one command at a time.
+    // A connection runs one command at a time, so a rollback must wait for the step.
     if (!running) {
       rollBack()
     }
@@ -75,7 +75,7 @@
   return {
     get executor () { return executor },
     get failedBecause () { return failedBecause },
-    pin: (begunAt) => { executor = begunAt },
+    pin: (begunExecutor) => { executor = begunExecutor },
     detach,
     fail,
     rollBack,
--- a/src/entry/requests/transaction-steps.ts
+++ b/src/entry/requests/transaction-steps.ts
@@ -1,8 +1,7 @@
 /**
- * A step of an open transaction, and what follows from its answer, for callers of this host and for those of others.
- *
- * Does the transaction go on? While the upstream says that it is open. Otherwise it ends: only a commit that succeeded
- * leaves nothing to roll back.
+ * Runs the steps of an open transaction, both for callers of this host and for transactions that other hosts forward.
+ * The upstream's answer tells whether the transaction stays open. One that has ended is rolled back, unless its answer
+ * reports success and an idle connection.
  */
 import type { StatementAnswer } from '../ports/index.ts'
 import { recordAnswer } from './record-answer.ts'
@@ -11,14 +10,14 @@
 import type { EntryContext, RequestScope } from './types.ts'
 
 /**
- * Runs a further step of a transaction and records what its answer shows.
+ * Runs a step of an open transaction and records the position and the cost that its answer reports.
  *
- * @param context - the rest of the process
- * @param scope - the request
- * @param executor - where the transaction is open
- * @param step - the step
- * @returns the answer
- * @throws RequestError; the caller discards the executor
+ * @param context - services of the entry process
+ * @param scope - the current request
+ * @param executor - executor that holds the transaction
+ * @param step - the step to run
+ * @returns the upstream's answer
+ * @throws RequestError if the transaction is lost; the caller must discard the executor
  */
 export async function runNextStep (
   context: Pick<EntryContext, 'freshness' | 'costs'>, scope: RequestScope, executor: StatementExecutor,
@@ -30,20 +29,20 @@
 }
 
 /**
- * Reports whether a transaction goes on after a step.
+ * Reports whether a transaction is still open after a step.
  *
  * @param answer - answer to the step
- * @returns whether it is open
+ * @returns true while the upstream reports the transaction as open
  */
-export function goesOn ({ state }: Pick<StatementAnswer, 'state'>): boolean {
+export function leavesTransactionOpen ({ state }: Pick<StatementAnswer, 'state'>): boolean {
   return state === 'open'
 }
 
 /**
- * Ends a transaction at its executor after the answer to a step.
+ * Releases the executor of a transaction that has ended, or rolls the transaction back if its last step failed.
  *
- * @param executor - where it ran; undefined when it was detached meanwhile
- * @param answer - the answer
+ * @param executor - executor of the transaction; undefined if it was already detached
+ * @param answer - answer to the last step
  */
 export async function endTransaction (
   executor: StatementExecutor | undefined, { failure, state }: Pick<StatementAnswer, 'failure' | 'state'>
--- a/src/entry/requests/transaction.ts
+++ b/src/entry/requests/transaction.ts
@@ -1,31 +1,31 @@
-/** One transaction of a caller. It begins at an upstream with its first statement and stays on that connection. */
+/** A caller's transaction. It begins at an upstream with its first statement and stays on that connection. */
 import { describeThrown, toRequestError } from '../../core/errors/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import type { Organisation, Route, StatementAnswer } from '../ports/index.ts'
 import { beginTransaction, type BeginContext } from './begin-transaction.ts'
-import type { ReadPlace } from './reads.ts'
+import type { ReadConstraint } from './reads.ts'
 import { recordAnswer } from './record-answer.ts'
-import { mayRepeatStep, NOT_RUN_PAUSE_MS } from './retry-rules.ts'
+import { mayRetryStep, RETRY_PAUSE_MS } from './retry-rules.ts'
 import type { TimedAnswer } from './run-statement.ts'
 import type { TransactionStep } from './statement-executor.ts'
 import { createTransactionPin, transactionLost } from './transaction-pin.ts'
-import { endTransaction, goesOn, runNextStep } from './transaction-steps.ts'
-import type { DataWork, RequestScope } from './types.ts'
+import { endTransaction, leavesTransactionOpen, runNextStep } from './transaction-steps.ts'
+import type { ExecutableStatement, RequestScope } from './types.ts'
 
 /** Options of {@link createTransaction}. */
 interface TransactionOptions {
   context: BeginContext
   route: Route
-  /** On whose behalf it runs. */
+  /** Organisation on whose behalf it runs. */
   organisation: Organisation
   readOnly: boolean
-  /** Where a transaction that only reads may run. */
-  place: ReadPlace
-  /** Time for which it may be idle between two steps, in milliseconds. */
+  /** Which upstreams may run a read-only transaction. */
+  constraint: ReadConstraint
+  /** Maximum idle time between two steps, in milliseconds. */
   idleMs: number
 }
 
-/** A transaction of a caller. */
+/** A transaction of a caller, from its first statement to its commit or rollback. */
 export interface CallerTransaction {
   readonly route: Route
   readonly organisation: Organisation
@@ -34,50 +34,51 @@
   /** Whether it can only be rolled back. */
   readonly failed: boolean
   readonly failedBecause: string | undefined
-  /** Whether it has written anything that a commit would keep. */
+  /** Whether a write was attempted in it, so that a commit without an answer is in doubt. */
   readonly wrote: boolean
   readonly upstream: string | undefined
   /**
-   * Runs a statement in it.
+   * Runs a statement in the transaction.
    *
    * @returns the upstream's answer
-   * @throws RequestError; the transaction has failed
+   * @throws RequestError `TransactionLost` if the transaction has failed
    */
-  execute: (scope: RequestScope, work: DataWork) => Promise<StatementAnswer>
+  execute: (scope: RequestScope, statement: ExecutableStatement) => Promise<StatementAnswer>
   /**
-   * Commits it. Sent once.
+   * Commits the transaction. A commit that may have run is never sent again.
    *
    * @returns the upstream's answer
    * @throws RequestError with the verdict on whether it was committed
    */
   commit: (scope: RequestScope, text: string) => Promise<StatementAnswer>
-  /** Rolls it back; the caller need not wait. */
+  /** Rolls it back in the background. */
   rollBack: () => void
-  /** Ends it from this side: the next statement is refused. */
+  /** Marks it as failed and rolls it back; the next statement fails with the reason. */
   abort: (reason: string) => void
 }
 
 /**
- * Creates a transaction; nothing is sent before its first statement.
+ * Creates a transaction. Nothing is sent to an upstream before its first statement.
  *
- * @param options - route and limits
+ * @param options - route, organisation and limits
  * @returns the transaction
  */
 export function createTransaction (options: TransactionOptions): CallerTransaction {
-  const { context, readOnly, place } = options
+  const { context, readOnly, constraint } = options
   const pin = createTransactionPin(options.idleMs)
   let wrote = false
   let begun = false
 
   const runFirst = async (scope: RequestScope, step: TransactionStep): Promise<TimedAnswer> => {
-    const { executor, begun: { first, lost } } = await beginTransaction(context, scope, { readOnly, place, step })
+    const { executor, begun: { firstAnswer, firstError } } =
+      await beginTransaction(context, scope, { readOnly, constraint, step })
     pin.pin(executor)
     begun = true
-    if (first === undefined) {
-      throw toRequestError(lost, 'may-have-run')
+    if (firstAnswer === undefined) {
+      throw toRequestError(firstError, 'may-have-run')
     }
-    recordAnswer(context, scope, first)
-    return first
+    recordAnswer(context, scope, firstAnswer)
+    return firstAnswer
   }
   const runStep = async (scope: RequestScope, step: TransactionStep): Promise<StatementAnswer> => {
     pin.ensureUsable()
@@ -87,27 +88,27 @@
       const { answer } = await pin.whileRunning(async () => executor === undefined
         ? await runFirst(scope, step)
         : await runNextStep(context, scope, executor, step))
-      if (!mayRepeatStep(answer, attempts, scope.deadline.passed)) {
+      if (!mayRetryStep(answer, attempts, scope.deadline.passed)) {
         return answer
       }
-      await pause(NOT_RUN_PAUSE_MS)
+      await pause(RETRY_PAUSE_MS)
       pin.ensureUsable()
     }
   }
-  const execute = async (scope: RequestScope, work: DataWork): Promise<StatementAnswer> => {
+  const execute = async (scope: RequestScope, statement: ExecutableStatement): Promise<StatementAnswer> => {
     try {
-      wrote ||= work.access === 'write'
-      const answer = await runStep(scope, { type: 'work', work })
+      wrote ||= statement.access === 'write'
+      const answer = await runStep(scope, { type: 'statement', statement })
       if (pin.failedBecause !== undefined) {
         pin.rollBack()
-      } else if (goesOn(answer)) {
+      } else if (leavesTransactionOpen(answer)) {
         pin.startIdleTimer()
       } else {
         pin.fail(`the upstream ended it: ${answer.failure?.kind ?? 'unknown'}`)
       }
       return answer
     } catch (thrown) {
-      // Without its commit nothing of a transaction is kept, whatever became of the statement.
+      // Whether the statement ran does not matter: without a commit the upstream discards the transaction.
       pin.discard(describeThrown(thrown))
       throw transactionLost(pin.failedBecause!)
     }
@@ -131,7 +132,7 @@
     get failed () { return pin.failedBecause !== undefined },
     get failedBecause () { return pin.failedBecause },
     get wrote () { return wrote },
-    get upstream () { return pin.executor?.known.upstream },
+    get upstream () { return pin.executor?.target.upstream },
     execute,
     commit,
     rollBack: () => pin.fail('it was rolled back'),
--- a/src/entry/requests/types.ts
+++ b/src/entry/requests/types.ts
@@ -1,4 +1,4 @@
-/** Types of serving callers. */
+/** Types shared by the modules that serve requests. */
 import type { StatementCosts } from './statement-costs.ts'
 import type { RetryBudget } from '../../retries/retry-budget.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -12,7 +12,7 @@
 import type { KnownUpstream } from '../directory/index.ts'
 import type { Deadline } from '../../core/time/deadline.ts'
 
-/** What serving a request needs from the rest of the process. */
+/** Services of the entry process that serving a request needs. */
 export interface EntryContext {
   pools: Pools
   homes: Homes
@@ -21,61 +21,61 @@
   limits: Limits
   freshness: FreshnessOfGroups
   logger: Logger
-  budget: RetryBudget
+  retryBudget: RetryBudget
   costs: StatementCosts
-  measures: EntryMeasures
+  metrics: EntryMetrics
   failureDomain: string
-  /** Time after which a leaving upstream must get nothing new, in milliseconds. */
+  /** Time after which a draining upstream must get no new work, in milliseconds. */
   drainMs: number
 }
 
-/** Where the times and counts of serving callers go. */
-export interface EntryMeasures {
-  /** Time of a caller's request, by type and outcome. */
+/** Recorders for the metrics of requests. */
+export interface EntryMetrics {
+  /** Records the duration of a caller's request, by type and outcome. */
   request: (label: string, durationMs: number) => void
-  /** Time that a request waited for a connection, by outcome. */
+  /** Records how long a request waited for a connection, by outcome. */
   queue: (label: string, durationMs: number) => void
-  /** Time of a statement at an upstream, by outcome. */
+  /** Records the duration of a statement at an upstream, by outcome. */
   upstream: (label: string, durationMs: number) => void
-  /** Statements that were sent again, by reason. */
+  /** Counts a retried statement, by reason. */
   retry: (label: string) => void
 }
 
-/** A statement that an upstream must run: as the caller sent it, or one that it has prepared. */
-export type DataWork = { requestId: string, access: Access } & (
+/** A statement to run at an upstream: the caller's text, or a prepared statement with its parameters. */
+export type ExecutableStatement = { requestId: string, access: Access } & (
   | { type: 'data', text: string }
   | { type: 'execute', prepared: PreparedShape, parameters: string }
 )
 
-/** An upstream that was chosen. */
+/** An upstream chosen for a request, and the resources of this host for it. */
 export interface ChosenUpstream {
-  known: KnownUpstream
-  used: UsedUpstream
+  target: KnownUpstream
+  resources: UsedUpstream
 }
 
 /** A request in progress. */
 export interface RequestScope {
   requestId: string
   group: string
-  /** Name of the organisation on whose behalf it is served; empty for none, undefined where any will do. */
+  /** Name of the organisation on whose behalf it runs; empty for none, undefined if the connection of any will do. */
   organisation: string | undefined
-  /** Version of the desired state by which it is served. */
+  /** Version of the desired state that applies to it. */
   version: number
   priority: number
-  /** Database whose statement times are recorded; undefined for statements of other hosts, which record them. */
+  /** Database to record run times for; undefined for forwarded statements, whose own host records them. */
   database?: string
-  /** Time that a statement is expected to take at an upstream, in milliseconds. */
+  /** Estimated run time of a statement at an upstream, in milliseconds. */
   costMs: number
   values: ReadonlyMap<string, string>
   deadline: Deadline
-  /** When an answer stops being in time for the caller's route, on the steady clock, in milliseconds. */
-  inTimeUntil: number
-  /** Attempts so far; they bound retries, and stand in the log. */
+  /** Time by which the route's latency target requires an answer, in milliseconds on the monotonic clock. */
+  softDeadline: number
+  /** Number of attempts so far. */
   attempts: number
-  /** Upstream that was tried last, for the log. */
+  /** Upstream of the last attempt, for the log. */
   upstream?: string
-  /** Host to which it was forwarded last, for the log. */
+  /** Home to which it was forwarded last, for the log. */
   home?: string
-  /** Homes that have not served it. */
+  /** Names of homes that failed to serve it. */
   triedHomes: Set<string>
 }
--- a/src/entry/requests/wait-rules.ts
+++ b/src/entry/requests/wait-rules.ts
@@ -1,78 +1,67 @@
 /**
- * How long a request waits for a primary and for a connection, and until when a leaving upstream gets new work. All
- * inputs are in milliseconds.
- *
- * - For a primary: `WAIT_SHARE` of its time while no failover is expected. When the next primary is expected within
- *   what is left of its time less `ANSWER_RESERVE_MS`, for all of that. Otherwise not at all: the caller gets a time
- *   after which to come back.
- * - For a connection: no longer than its requester allows, and no longer than `QUEUE_SHARE` of the time left for an
- *   answer in time, for which `QUEUE_LEAST_MS` is the least. A request that waits longer is late itself, and makes the
- *   ones behind it late too.
- * - A leaving upstream gets new work until `DRAIN_RESERVE_MS` before its drain time is over.
+ * Limits on how long a request waits for a primary or for a connection, and on how long a draining upstream still gets
+ * new work. Durations are in milliseconds.
  */
 import type { KnownUpstream } from '../directory/index.ts'
 
-/** Part of a request's time for which it waits for a primary, or for a connection, before it is refused. */
+/** Share of a request's remaining time that it may spend waiting for a primary or a connection. */
 export const WAIT_SHARE = 0.45
 /**
- * Part of the time that is left for an answer in time for which a request waits for a connection: at an
- * overloaded primary those that wait longer are late, and make those behind them late too.
- */
-const QUEUE_SHARE = 0.5
-/** Least time for which a request waits for a connection, in milliseconds: opening one takes 12 ms and a round trip. */
-const QUEUE_LEAST_MS = 40
-/**
- * Time of a request that is kept for the statement itself while it waits for a primary, in milliseconds: the longest
- * ordinary statement takes 170 ms, and few do.
+ * Share of the time left until the soft deadline that a request may wait for a connection. The rest is needed to run
+ * the statement; a longer wait would also delay the requests queued behind it.
  */
-const ANSWER_RESERVE_MS = 100
-/** Time after which callers are told to come back when there is no primary, in milliseconds: about one promotion. */
+const QUEUE_WAIT_SHARE = 0.5
+/** Minimum wait for a connection, in milliseconds; long enough to open a new one. */
+const MINIMUM_QUEUE_WAIT_MS = 40
+/** Time reserved for running the statement while its request waits for a primary, in milliseconds. */
+const EXECUTION_RESERVE_MS = 100
+/** Minimum retry delay reported to callers while a group has no primary, in milliseconds; about one promotion. */
 export const RETRY_AFTER_MS = 300
-/** Time of `drainMs` that is kept back, so that what is under way still arrives before its end, in milliseconds. */
+/** Part of `drainMs` reserved for statements already on their way to the upstream, in milliseconds. */
 const DRAIN_RESERVE_MS = 1500
 
 /**
- * Returns how long a request waits for the primary that a failover is expected to bring.
+ * Returns how long a request waits for a failover to finish.
  *
- * @param expectedMs - time in which the next primary is expected
- * @param leftMs - time left of the request's deadline
- * @returns the wait; 0 when the primary is expected too late
+ * @param expectedMs - expected time until the next primary
+ * @param leftMs - time left until the request's deadline
+ * @returns the wait; 0 if the primary is not expected in time
  */
 export function failoverWaitMs (expectedMs: number, leftMs: number): number {
-  const usableMs = leftMs - ANSWER_RESERVE_MS
+  const usableMs = leftMs - EXECUTION_RESERVE_MS
   return expectedMs > usableMs ? 0 : usableMs
 }
 
 /**
- * Returns the time after which a caller should come back when there is no primary.
+ * Returns the retry delay to report to a caller while there is no primary.
  *
- * @param expectedMs - time in which the next primary is expected; 0 when no failover is expected
- * @returns the time
+ * @param expectedMs - expected time until the next primary; 0 if no failover is expected
+ * @returns the delay, at least {@link RETRY_AFTER_MS}
  */
 export function retryAfterMsOf (expectedMs: number): number {
   return Math.max(RETRY_AFTER_MS, Math.round(expectedMs))
 }
 
 /**
- * Returns how long a request waits for its turn at an upstream and for a connection.
+ * Returns how long a request waits for an execution slot and a connection at an upstream.
  *
- * @param greatestWaitMs - greatest wait that the requester allows
- * @param inTimeMs - time left for an answer in time; negative when it is late already
+ * @param maximumWaitMs - maximum wait that the caller of this function allows
+ * @param softDeadlineLeftMs - time left until the request's soft deadline; negative once it has passed
  * @returns the wait
  */
-export function connectionWaitMs (greatestWaitMs: number, inTimeMs: number): number {
-  return Math.min(greatestWaitMs, Math.max(QUEUE_LEAST_MS, inTimeMs * QUEUE_SHARE))
+export function connectionWaitMs (maximumWaitMs: number, softDeadlineLeftMs: number): number {
+  return Math.min(maximumWaitMs, Math.max(MINIMUM_QUEUE_WAIT_MS, softDeadlineLeftMs * QUEUE_WAIT_SHARE))
 }
 
 /**
- * Reports whether an upstream may still get new work. One whose row is missing counts as leaving.
+ * Reports whether an upstream may still get new work. One whose row is missing counts as draining.
  *
- * @param known - the upstream
- * @param drainMs - time after which a leaving upstream must get nothing new
- * @param now - present time on the steady clock
- * @returns whether it may
+ * @param target - the upstream
+ * @param drainMs - time after which a draining upstream must get no new work
+ * @param now - current time on the monotonic clock
+ * @returns true if new work may be sent to it
  */
-export function mayTakeWork (
+export function acceptsNewWork (
   { drainingSince, missingSince }: Pick<KnownUpstream, 'drainingSince' | 'missingSince'>, drainMs: number, now: number
 ): boolean {
   const leavingSince = Math.min(drainingSince ?? Infinity, missingSince ?? Infinity)
--- a/test/entry/process/just-started.test.ts
+++ b/test/entry/process/just-started.test.ts
@@ -5,14 +5,14 @@
 describe('a host that has just started', () => {
   const suite = setUpWorld(['h1', 'h2'])
 
-  it('serves a caller who comes before it knows the desired state, as soon as it does', async () => {
+  it('serves a caller that connected before the desired state was known, as soon as it is known', async () => {
     suite.world.store.answerMs = 60
     await suite.world.startHost('h3')
     const { failure } = await suite.settle(suite.world.connect('h3', 'money').write(), 700)
     expect(failure).toEqual(undefined)
   })
 
-  it('says to come back, and not that the database is not declared, while it knows no desired state', async () => {
+  it('reports a retry delay instead of an unknown database while no desired state is known', async () => {
     suite.world.store.cutOff.add('h3')
     suite.world.silent.add('h3')
     await suite.world.startHost('h3')
@@ -25,7 +25,7 @@
     expect(tookMs <= 500).toEqual(true)
   })
 
-  it('still says that a database is not declared once it knows', async () => {
+  it('reports an unknown database once the desired state is known', async () => {
     const { failure } = await suite.settle(suite.world.connect('h1', 'nowhere').write(), 100)
     expect(failure?.kind).toEqual('unknown-database')
   })
--- a/test/entry/process/leaving-upstreams.test.ts
+++ b/test/entry/process/leaving-upstreams.test.ts
@@ -9,54 +9,54 @@
   { database: 'view', group: 'g', freshness: { type: 'bounded', maximumAgeMs: 1500 }, timeoutMs: 800 }
 ]
 const HOSTS = ['h1', 'h2', 'h3']
-/** Time after which a leaving upstream may get nothing new, in milliseconds: the default of the settings. */
+/** Time after which a draining upstream must get no new work, in milliseconds: the default of the settings. */
 const DRAIN_MS = 7000
-/** Time that is played after an upstream began to leave, in milliseconds. */
-const PLAYED_MS = 12_000
-const REQUEST_EVERY_MS = 40
+/** Simulated time after an upstream starts draining, in milliseconds. */
+const SIMULATED_MS = 12_000
+const REQUEST_INTERVAL_MS = 40
 
-describe('upstreams that leave', () => {
+describe('draining upstreams', () => {
   const suite = setUpWorld(HOSTS, ROUTES)
 
-  /** Lets an upstream leave, by what the store says, under load of all hosts. */
-  const leave = async (name: string, trouble: () => void): Promise<{ leaving: Leaving, failures: number }> => {
+  /** Starts draining an upstream through the store, under load from all hosts. */
+  const drain = async (name: string, fault: () => void): Promise<{ leaving: Leaving, failures: number }> => {
     const { world, clock } = suite
     const leaving: Leaving = { upstream: name, since: performance.now() }
     const upstream = world.upstreams.all.get(name)!
-    trouble()
+    fault()
     upstream.draining = true
     world.announce(upstream)
     let failures = 0
-    for (let elapsed = 0; elapsed < PLAYED_MS; elapsed += REQUEST_EVERY_MS) {
-      const host = HOSTS[(elapsed / REQUEST_EVERY_MS) % HOSTS.length]!
-      const route = ROUTES[Math.floor(elapsed / REQUEST_EVERY_MS / HOSTS.length) % ROUTES.length]!
+    for (let elapsed = 0; elapsed < SIMULATED_MS; elapsed += REQUEST_INTERVAL_MS) {
+      const host = HOSTS[(elapsed / REQUEST_INTERVAL_MS) % HOSTS.length]!
+      const route = ROUTES[Math.floor(elapsed / REQUEST_INTERVAL_MS / HOSTS.length) % ROUTES.length]!
       const caller = world.connect(host, route.database)
       void (route.database === 'money' ? caller.write() : caller.read()).then(({ failure }) => {
         failures += failure === undefined ? 0 : 1
       })
-      await clock.tickAsync(REQUEST_EVERY_MS)
+      await clock.tickAsync(REQUEST_INTERVAL_MS)
     }
     return { leaving, failures }
   }
-  const TROUBLES: Record<string, () => void> = {
-    'nothing else happens': () => {},
-    'the questions of two hosts for changes have gone silent': () => {
+  const FAULTS: Record<string, () => void> = {
+    'there is no other fault': () => {},
+    'the change feeds of two hosts have stalled': () => {
       suite.world.store.silenceFeeds('h1')
       suite.world.store.silenceFeeds('h3')
     },
-    'the store has lost its history': () => suite.world.store.forgetHistory(),
+    'the store has lost its change history': () => suite.world.store.forgetHistory(),
     'the store is slow': () => { suite.world.store.answerMs = 240 },
-    'the store is away for a moment afterwards': () => {
+    'the store is briefly unavailable afterwards': () => {
       setTimeout(() => { suite.world.store.down = true }, 30)
       setTimeout(() => { suite.world.store.down = false }, 2500)
     },
-    'one host does not hear its peers': () => { suite.world.silent.add('h2') }
+    'one host receives no messages from its peers': () => { suite.world.silent.add('h2') }
   }
 
-  for (const [trouble, strike] of Object.entries(TROUBLES)) {
+  for (const [fault, injectFault] of Object.entries(FAULTS)) {
     for (const name of ['g-a', 'g-b']) {
-      it(`get nothing new after their time (${name === 'g-a' ? 'the primary' : 'a replica'}) when ${trouble}`, async () => {
-        const { leaving } = await leave(name, strike)
+      it(`get nothing new after their time (${name === 'g-a' ? 'the primary' : 'a replica'}) when ${fault}`, async () => {
+        const { leaving } = await drain(name, injectFault)
         expect(checkLeaving(suite.world.upstreams.runs, [leaving], DRAIN_MS)).toEqual([])
         const after = suite.world.upstreams.runs.filter(({ at }) => at > leaving.since + DRAIN_MS)
         expect(after.length > 50).toEqual(true)
@@ -64,11 +64,11 @@
     }
   }
 
-  it('are given up without a failure when a replica leaves on a calm day', async () => {
-    expect((await leave('g-b', () => {})).failures).toEqual(0)
+  it('cause no failures when a replica drains without other faults', async () => {
+    expect((await drain('g-b', () => {})).failures).toEqual(0)
   })
 
-  it('are found in a history in which one got work too late', () => {
+  it('are reported by the history check if they got work too late', () => {
     const run = {
       connection: 1, host: 'h1', organisation: '', text: '', values: {}, inTransaction: false, upstream: 'g-b', requestId: 'r1'
     }
--- a/test/entry/process/retry-budget.test.ts
+++ b/test/entry/process/retry-budget.test.ts
@@ -1,9 +1,6 @@
 /**
- * A process repeats a read that may have run by taking from its retry budget, which holds 100 at the start. It aborted
- * every such read from the 101st on, for the rest of its life, however much it had served in between: nothing in the
- * entry process counted what was served. The log shows 100 lines `read.repeated`, then 20 lines `retry.refused` with
- * `attempts=1` and `balance=0.0`: neither tries nor time nor the verdict forbade the retry, but the budget, which never
- * rose. Now each statement that an upstream has served counts, on the host of its caller.
+ * Guards against a retry budget that is never refilled: every statement served by an upstream must earn a fraction of a
+ * retry on its caller's host.
  */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
@@ -14,19 +11,19 @@
 const ROUTES: FakeRoute[] = [
   { database: 'view', group: 'g', freshness: { type: 'bounded', maximumAgeMs: 1500 }, timeoutMs: 800 }
 ]
-/** Interrupted reads: more than a process may repeat without having earned any by other requests. */
-const INTERRUPTED = 120
-/** Reads served in between for each interrupted one: they earn a fifth of a repetition each. */
-const SERVED_BETWEEN = 10
+/** Number of interrupted reads; more than the initial balance of the budget. */
+const INTERRUPTED_READS = 120
+/** Reads served before each interrupted one; each earns a fifth of a retry. */
+const SERVED_PER_INTERRUPTED = 10
 
 describe('the retry budget of an entry process', () => {
   const suite = setUpWorld(['h1', 'h2'], ROUTES)
 
-  it('is refilled by the requests that are served', async () => {
+  it('is refilled by served requests', async () => {
     const failures: string[] = []
-    for (let turn = 0; turn < INTERRUPTED; turn++) {
+    for (let turn = 0; turn < INTERRUPTED_READS; turn++) {
       const caller = suite.world.connect('h1', 'view')
-      for (let read = 0; read < SERVED_BETWEEN; read++) {
+      for (let read = 0; read < SERVED_PER_INTERRUPTED; read++) {
         await suite.settle(caller.read(), 20)
       }
       const interrupted = caller.read()
@@ -43,12 +40,12 @@
 })
 
 const HOSTS = ['h1', 'h2', 'h3', 'h4', 'h5', 'h6']
-/** Retries that a process may send before it has served anything. */
-const GREATEST_BALANCE = 100
-/** Served statements that earn one retry. */
+/** Initial and maximum balance of the budget. */
+const MAXIMUM_BALANCE = 100
+/** Number of served statements that earn one retry. */
 const SERVED_PER_RETRY = 5
 
-/** A host that is a home of every upstream of the group, and one that is none of the primary. */
+/** Returns a host that is a home of the primary, and one that is not. */
 function chooseHosts (): { home: string, other: string } {
   const hosts = HOSTS.map((name) => ({ name, failureDomain: FAKE_DOMAIN }))
   const homes = homesOf({ upstream: 'g-a', failureDomain: FAKE_DOMAIN, slots: FAKE_SLOTS }, hosts, FAKE_CAP)
@@ -59,17 +56,17 @@
 describe('the retry budget of an entry process under overload', () => {
   const suite = setUpWorld(HOSTS, [{ ...ROUTES[0]!, freshness: { type: 'primary' } }])
   const { home, other } = chooseHosts()
-  const watchRetries = () => {
-    const seen = { repeated: 0, refused: 0 }
+  const countRetries = () => {
+    const counts = { retried: 0, refused: 0 }
     suite.world.logger = {
       log: (_level, event) => {
-        seen.repeated += event === 'read.repeated' ? 1 : 0
-        seen.refused += event === 'retry.refused' ? 1 : 0
+        counts.retried += event === 'read.repeated' ? 1 : 0
+        counts.refused += event === 'retry.refused' ? 1 : 0
       }
     }
-    return seen
+    return counts
   }
-  /** Reads whose answers are all lost after they ran. */
+  /** Sends reads whose answers are all lost after they ran. */
   const failReads = async (host: string, count: number): Promise<void> => {
     const primary = suite.world.upstreams.all.get('g-a')!
     primary.losesReads = true
@@ -89,38 +86,38 @@
     caller.close()
   }
 
-  for (const [place, host] of [['its own connections', home], ['homes that it asks', other]] as const) {
-    it(`bounds what is sent again over ${place}, and refills by a fifth of what is served`, async () => {
-      const seen = watchRetries()
+  for (const [place, host] of [['its own connections', home], ['homes', other]] as const) {
+    it(`bounds retries over ${place}, and earns a fifth of a retry per served read`, async () => {
+      const counts = countRetries()
       await failReads(host, 60)
-      expect(seen.repeated).toEqual(GREATEST_BALANCE)
-      expect(seen.refused > 0).toEqual(true)
+      expect(counts.retried).toEqual(MAXIMUM_BALANCE)
+      expect(counts.refused > 0).toEqual(true)
       await serveReads(host, 10 * SERVED_PER_RETRY)
       await failReads(host, 30)
-      expect(seen.repeated).toEqual(GREATEST_BALANCE + 10)
+      expect(counts.retried).toEqual(MAXIMUM_BALANCE + 10)
     })
   }
 
-  it('counts forwarded work on the host of its caller alone', async () => {
-    const seen = watchRetries()
+  it('counts forwarded statements only on the host of their caller', async () => {
+    const counts = countRetries()
     await failReads(home, 60)
     await serveReads(other, 20 * SERVED_PER_RETRY)
     await failReads(home, 10)
-    expect(seen.repeated).toEqual(GREATEST_BALANCE)
+    expect(counts.retried).toEqual(MAXIMUM_BALANCE)
   })
 
-  it('earns nothing by what is refused', async () => {
-    const seen = watchRetries()
+  it('earns nothing from refused requests', async () => {
+    const counts = countRetries()
     await failReads(home, 60)
     const primary = suite.world.upstreams.all.get('g-a')!
-    const room = primary.maximumConnections
+    const maximumConnections = primary.maximumConnections
     primary.maximumConnections = 0
     for (let read = 0; read < 100; read++) {
       const { failure } = await suite.settle(suite.world.connect(home, 'view').read(), 900)
       expect(failure?.kind).toEqual('busy')
     }
-    primary.maximumConnections = room
+    primary.maximumConnections = maximumConnections
     await failReads(home, 10)
-    expect(seen.repeated).toEqual(GREATEST_BALANCE)
+    expect(counts.retried).toEqual(MAXIMUM_BALANCE)
   })
 })
--- a/test/entry/process/stopping.test.ts
+++ b/test/entry/process/stopping.test.ts
@@ -2,10 +2,10 @@
 import { expect } from 'earl'
 import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
-describe('a planned stop of an entry process', () => {
+describe('graceful shutdown of an entry process', () => {
   const suite = setUpWorld(['h1'])
 
-  it('serves a caller that connects at the last moment before it ends', async () => {
+  it('serves a caller that connects just before the listener closes', async () => {
     const host = suite.world.hosts.get('h1')!
     let answeredAt = Infinity
     host.beforeStopAccepting = () => {
@@ -20,7 +20,7 @@
     expect(answeredAt < host.closedAt).toEqual(true)
   })
 
-  it('gives an open transaction half of its time, and then says that nothing is kept', async () => {
+  it('keeps an open transaction for half of the grace period, then reports it as aborted', async () => {
     const host = suite.world.hosts.get('h1')!
     const caller = suite.world.connect('h1', 'money')
     const step = async <Value>(pending: Promise<Value>, ms: number): Promise<Value> => {
@@ -39,7 +39,7 @@
     expect(suite.world.upstreams.all.get('g-a')!.log).toEqual([])
   })
 
-  it('ends in time although the store does not answer', async () => {
+  it('finishes in time although the store does not answer', async () => {
     const host = suite.world.hosts.get('h1')!
     suite.world.store.answerMs = 60_000
     const startedAt = performance.now()
--- a/test/entry/process/calm.test.ts
+++ b/test/entry/process/without-faults.test.ts
@@ -9,11 +9,11 @@
   { database: 'own', group: 'g', freshness: { type: 'session', maximumAgeMs: 2500 }, timeoutMs: 800 }
 ]
 
-describe('entry processes on a calm day', () => {
+describe('entry processes without faults', () => {
   const suite = setUpWorld(['h1', 'h2'], ROUTES)
   const { settle } = suite
 
-  it('writes at the primary and reads them back at once on every kind of route', async () => {
+  it('reads acknowledged writes back immediately on primary and session routes', async () => {
     const written = await settle(suite.world.connect('h1', 'money').write())
     expect(written.failure).toEqual(undefined)
     const own = suite.world.connect('h2', 'own')
@@ -24,7 +24,7 @@
     expect(read.rows[0]?.split(',').includes(ownWrite.id)).toEqual(true)
   })
 
-  it('serves bounded reads at replicas once an answer of the primary has proved an age', async () => {
+  it('serves bounded reads at replicas after an answer of the primary has proved their freshness', async () => {
     await settle(suite.world.connect('h1', 'money').write(), 300)
     suite.world.upstreams.runs.length = 0
     for (let turn = 0; turn < 6; turn++) {
@@ -34,7 +34,7 @@
     expect(suite.world.upstreams.runs.every(({ upstream }) => upstream !== 'g-a')).toEqual(true)
   })
 
-  it('keeps the session values and prepared names of callers apart on shared connections', async () => {
+  it('isolates session values and prepared statements of callers on shared connections', async () => {
     for (let turn = 0; turn < 8; turn++) {
       const one = suite.world.connect('h1', 'own')
       const two = suite.world.connect('h1', 'own')
@@ -55,7 +55,7 @@
     }
   })
 
-  it('runs a transaction on one connection and nothing of others in it', async () => {
+  it('runs a transaction on one connection, without statements of other callers in it', async () => {
     const caller = suite.world.connect('h1', 'money')
     await settle(caller.send({ type: 'begin', readOnly: false }), 10)
     const first = await settle(caller.write(), 100)
@@ -69,7 +69,7 @@
     expect(suite.world.upstreams.all.get('g-a')!.log.map(({ token }) => token)).toEqual([other.id, first.id, second.id])
   })
 
-  it('rolls back what a caller leaves behind', async () => {
+  it('rolls back the open transaction of a caller that disconnects', async () => {
     const caller = suite.world.connect('h1', 'money')
     await settle(caller.send({ type: 'begin', readOnly: false }), 10)
     await settle(caller.write(), 100)
@@ -78,7 +78,7 @@
     expect(suite.world.upstreams.all.get('g-a')!.log.length).toEqual(1)
   })
 
-  it('sends nothing on a connection whose statement is in progress when its caller leaves', async () => {
+  it('waits for the running statement before it rolls back for a caller that disconnects', async () => {
     const caller = suite.world.connect('h1', 'money')
     await settle(caller.send({ type: 'begin', readOnly: false }), 10)
     await settle(caller.write(), 100)
@@ -92,7 +92,7 @@
     expect(suite.world.upstreams.all.get('g-a')!.log.length).toEqual(1)
   })
 
-  it('answers a lost answer of a write as in doubt, at once', async () => {
+  it('reports a write whose answer is lost as in doubt, without delay', async () => {
     const caller = suite.world.connect('h1', 'money')
     await settle(caller.write(), 100)
     suite.world.upstreams.all.get('g-a')!.loseAnswers = 1
@@ -109,7 +109,7 @@
     expect(answer.failure?.kind).toEqual('unknown-database')
   })
 
-  it('ends a transaction that rests for too long, and says that nothing is kept', async () => {
+  it('rolls back a transaction that is idle for too long, and reports it as aborted', async () => {
     const caller = suite.world.connect('h1', 'money')
     await settle(caller.send({ type: 'begin', readOnly: false }), 10)
     await settle(caller.write(), 100)
--- a/test/entry/requests/forwarded-transactions.test.ts
+++ b/test/entry/requests/forwarded-transactions.test.ts
@@ -27,8 +27,8 @@
   return { transactions, executor, link, add, calls, reasons, closeListeners, state }
 }
 
-describe('transactions that are open for other hosts', () => {
-  it('stay open while their steps leave them open, and end with a commit', async () => {
+describe('forwarded transactions', () => {
+  it('stay open until a step ends them, and release their executor after a commit', async () => {
     const { transactions, add, calls } = setUp()
     const number = await add()
     equal(number, 1)
@@ -38,14 +38,14 @@
     equal(transactions.size, 0)
   })
 
-  it('are not kept when the first step has ended them', async () => {
+  it('are rolled back and not registered if the first step has ended them', async () => {
     const { transactions, executor, link, calls, closeListeners } = setUp()
     equal(await transactions.add(executor, SCOPE, answer('failed'), link), undefined)
     deepEqual(calls, ['rollBack'])
     equal(closeListeners.length, 0)
   })
 
-  it('run one step at a time, and are not ended during it', async () => {
+  it('reject a second concurrent step, and are not rolled back while a step runs', async () => {
     const { transactions, add, calls } = setUp()
     await add()
     await transactions.claim(1)
@@ -55,7 +55,7 @@
     equal(transactions.size, 1)
   })
 
-  it('end with the link to their host; a link has one listener for all', async () => {
+  it('are rolled back when the link to their host closes, with one listener per link', async () => {
     const { transactions, add, calls, reasons, closeListeners } = setUp()
     await add()
     await add()
@@ -67,15 +67,15 @@
     equal(transactions.size, 0)
   })
 
-  it('end when they are idle for too long', async () => {
+  it('are rolled back when they are idle for too long', async () => {
     const { transactions, add, reasons } = setUp(20)
     await add()
     await pause(40)
     equal(transactions.size, 0)
-    deepEqual(reasons, ['it rested for too long'])
+    deepEqual(reasons, ['it was idle for too long'])
   })
 
-  it('end when their connection cannot carry them', async () => {
+  it('are rolled back on the next step if their executor is broken', async () => {
     const { transactions, add, calls, state } = setUp()
     await add()
     state.brokenBecause = 'the primary has changed'
@@ -83,7 +83,7 @@
     deepEqual(calls, ['rollBack'])
   })
 
-  it('are waited for while the host stops, and ended after that', async () => {
+  it('may finish during a shutdown, and are rolled back when the drain time is over', async () => {
     const { transactions, add, reasons } = setUp()
     await add()
     const startedAt = performance.now()
--- a/test/entry/requests/read-cost.test.ts
+++ b/test/entry/requests/read-cost.test.ts
@@ -2,8 +2,8 @@
 import { describe, it } from 'node:test'
 import { readCostMs, type ReadCandidate } from '../../../src/entry/requests/choose-upstream.ts'
 
-/** A replica nearby that is idle, with an open connection. */
-function costWith (changes: Partial<ReadCandidate> = {}): number {
+/** Returns the cost of an idle replica in the local failure domain with an open connection, apart from the changes. */
+function costOf (changes: Partial<ReadCandidate> = {}): number {
   return readCostMs({
     latencyMs: 10,
     busy: 0,
@@ -13,7 +13,7 @@
     throughHome: false,
     hasRoom: true,
     hasConnections: true,
-    hasReached: true,
+    hasReachedPosition: true,
     lagging: false,
     avoided: false,
     ...changes
@@ -21,30 +21,30 @@
 }
 
 describe('the cost of a read at an upstream', () => {
-  it('is its time, and a time more for each full set of slots that is busy', () => {
-    equal(costWith(), 10)
-    equal(costWith({ busy: 4 }), 20)
-    equal(costWith({ busy: 6 }), 25)
+  it('is the latency, multiplied by one plus the ratio of busy to available slots', () => {
+    equal(costOf(), 10)
+    equal(costOf({ busy: 4 }), 20)
+    equal(costOf({ busy: 6 }), 25)
   })
 
-  it('is less at the primary nearby than at a replica in another failure domain', () => {
-    equal(costWith({ isPrimary: true }), 22)
-    equal(costWith({ isLocalDomain: false }), 35)
+  it('is lower at a primary in the local failure domain than at a replica in another one', () => {
+    equal(costOf({ isPrimary: true }), 22)
+    equal(costOf({ isLocalDomain: false }), 35)
   })
 
-  it('counts the connections of this host only where no home carries the read', () => {
-    equal(costWith({ hasRoom: false }), 35)
-    equal(costWith({ hasRoom: false, hasConnections: false }), 435)
-    equal(costWith({ hasRoom: false, hasConnections: false, throughHome: true }), 10)
+  it('includes connection penalties only if the read is not forwarded to a home', () => {
+    equal(costOf({ hasRoom: false }), 35)
+    equal(costOf({ hasRoom: false, hasConnections: false }), 435)
+    equal(costOf({ hasRoom: false, hasConnections: false, throughHome: true }), 10)
   })
 
-  it('is high at a replica that lagged, unless it is known to have what the read must find', () => {
-    equal(costWith({ lagging: true }), 10)
-    equal(costWith({ lagging: true, hasReached: false }), 410)
-    equal(costWith({ hasReached: false }), 10)
+  it('is high at a replica that lagged, unless it is known to have reached the position', () => {
+    equal(costOf({ lagging: true }), 10)
+    equal(costOf({ lagging: true, hasReachedPosition: false }), 410)
+    equal(costOf({ hasReachedPosition: false }), 10)
   })
 
-  it('is highest at an upstream that failed lately', () => {
-    equal(costWith({ avoided: true }), 5010)
+  it('is highest at an upstream that failed recently', () => {
+    equal(costOf({ avoided: true }), 5010)
   })
 })
--- a/test/entry/requests/stop-sessions.test.ts
+++ b/test/entry/requests/stop-sessions.test.ts
@@ -9,7 +9,7 @@
   end: () => void
 }
 
-/** Sessions that record what is done to them and when, in milliseconds since the stop began. */
+/** Creates sessions that record calls, with the time in milliseconds since the start of the shutdown. */
 function setUp () {
   const startedAt = performance.now()
   const events: Array<{ event: string, atMs: number }> = []
@@ -40,8 +40,8 @@
   return { sessions, events, add, stop }
 }
 
-describe('the end of sessions during a planned stop', () => {
-  it('comes for idle ones when the balancer has noticed, and then no more callers are accepted', async () => {
+describe('ending sessions during a graceful shutdown', () => {
+  it('closes idle sessions after the load balancer has noticed, then stops accepting callers', async () => {
     const { sessions, events, add, stop } = setUp()
     add('idle', false)
     await stop(8000)
@@ -50,7 +50,7 @@
     equal(events[0]!.atMs > 2200, true)
   })
 
-  it('comes for transactions from half of the time on', async () => {
+  it('aborts open transactions after half of the grace period', async () => {
     const { sessions, events, add, stop } = setUp()
     add('busy', true)
     await stop(4800)
--- a/test/entry/requests/transaction-pin.test.ts
+++ b/test/entry/requests/transaction-pin.test.ts
@@ -4,8 +4,8 @@
 import { createTransactionPin } from '../../../src/entry/requests/transaction-pin.ts'
 import { createRecordingExecutor } from '../../fixtures/recording-executor.ts'
 
-describe('what a transaction is pinned to', () => {
-  it('is rolled back once when the transaction fails, and keeps the first reason', () => {
+describe('the pin of a transaction', () => {
+  it('rolls back once when the transaction fails, and keeps the first reason', () => {
     const { executor, calls } = createRecordingExecutor()
     const pin = createTransactionPin(1000)
     pin.pin(executor)
@@ -16,7 +16,7 @@
     throws(() => pin.ensureUsable(), /first/)
   })
 
-  it('is not rolled back while a step runs', async () => {
+  it('does not roll back on a failure while a step is running', async () => {
     const { executor, calls } = createRecordingExecutor()
     const pin = createTransactionPin(1000)
     pin.pin(executor)
@@ -28,7 +28,7 @@
     deepEqual(calls, ['rollBack'])
   })
 
-  it('fails when the executor can no longer carry the transaction', () => {
+  it('fails when the executor is broken', () => {
     const { executor, calls, state } = createRecordingExecutor()
     const pin = createTransactionPin(1000)
     pin.pin(executor)
@@ -38,7 +38,7 @@
     deepEqual(calls, ['rollBack'])
   })
 
-  it('is discarded, not rolled back, when its state is in doubt', () => {
+  it('discards the executor without a rollback when the transaction state is unknown', () => {
     const { executor, calls } = createRecordingExecutor()
     const pin = createTransactionPin(1000)
     pin.pin(executor)
@@ -48,7 +48,7 @@
     equal(pin.failedBecause, 'no answer')
   })
 
-  it('is rolled back when the caller is idle for too long, unless the next step comes first', async () => {
+  it('rolls back when the caller is idle for too long, unless the idle timer is stopped', async () => {
     const { executor, calls } = createRecordingExecutor()
     const pin = createTransactionPin(20)
     pin.pin(executor)
