--- a/src/mysql-proxy/operators/tables.ts
+++ b/src/mysql-proxy/operators/tables.ts
@@ -25,11 +25,11 @@
 /** Reads each table. */
 export const TABLES: Record<TableName, (sources: TableSources) => Promise<TableRow[]> | TableRow[]> = {
   groups: async (sources) => {
-    await sources.routing.openPlaced()
+    await sources.routing.openPlacedGroups()
     return sources.configuration.versions().flatMap((version) => describeGroup(sources, version))
   },
   upstreams: async (sources) => {
-    await sources.routing.openPlaced()
+    await sources.routing.openPlacedGroups()
     return sources.configuration.versions().flatMap((version) => describeUpstreams(sources, version))
   },
   services: ({ configuration }) => configuration.versions().flatMap(({ name, group }) =>
--- a/src/mysql-proxy/routing/group-home.ts
+++ b/src/mysql-proxy/routing/group-home.ts
@@ -46,7 +46,7 @@
   /** Deletes a batch of request keys that need not be remembered; returns how many. */
   sweepLedger: () => Promise<number>
   /** Requests and transactions in progress. */
-  readonly busy: number
+  readonly activeCount: number
   dump: () => unknown
   close: () => void
 }
@@ -98,7 +98,7 @@
       groupPools.update(changed)
     },
     sweepLedger: sweeper.sweep,
-    get busy () { return requests.inProgress + transactions.open },
+    get activeCount () { return requests.inProgress + transactions.open },
     dump: () => ({
       view: view.dump(),
       pools: Object.fromEntries([...pools].map(([upstream, pool]) => [upstream, pool.state()])),
--- a/src/mysql-proxy/routing/index.ts
+++ b/src/mysql-proxy/routing/index.ts
@@ -21,7 +21,7 @@
   /** Homes of a group, best first. */
   homesOf: (group: string) => Member[]
   /** Opens all groups that are placed here, and asks their upstreams, so that their state can be shown. */
-  openPlaced: () => Promise<void>
+  openPlacedGroups: () => Promise<void>
   /** Groups that this process serves as a home. */
   homes: () => Map<string, GroupHome>
   /** Counts summed over all groups served here. */
@@ -84,7 +84,7 @@
         send: requests.send,
         sendTo: requests.sendTo,
         homesOf,
-        openPlaced: homes.openPlaced,
+        openPlacedGroups: homes.openPlaced,
         homes: () => homes.byGroup,
         counts: () => sumCounts([...homes.byGroup.values()].map(({ counts }) => counts))
       },
--- a/src/mysql-proxy/routing/placed-homes.ts
+++ b/src/mysql-proxy/routing/placed-homes.ts
@@ -65,7 +65,7 @@
 
   const release = (): void => {
     for (const [name, home] of byGroup) {
-      if (!isPlacedHere(name) && home.busy === 0) {
+      if (!isPlacedHere(name) && home.activeCount === 0) {
         home.close()
         byGroup.delete(name)
       }
@@ -92,7 +92,7 @@
     },
     waitUntilIdle: async (timeoutMs) => {
       const until = performance.now() + timeoutMs
-      while ([...byGroup.values()].some((home) => home.busy > 0) && performance.now() < until) {
+      while ([...byGroup.values()].some((home) => home.activeCount > 0) && performance.now() < until) {
         await pause(DRAIN_POLL_MS)
       }
     },
--- a/test/system/transactions.test.ts
+++ b/test/system/transactions.test.ts
@@ -29,7 +29,7 @@
     connection.destroy()
     expect(await readRequests(await deployment.connect(1), 'gone-caller', 'id')).toEqual([])
     await until(() => deployment.proxies.every(({ kernel }) =>
-      [...kernel.use('routing').homes().values()].every((home) => home.busy === 0)))
+      [...kernel.use('routing').homes().values()].every((home) => home.activeCount === 0)))
   })
 
   it('says that the transaction was rolled back when the primary goes in the middle', async () => {
@@ -98,7 +98,7 @@
     await connection.query('BEGIN')
     await insert(connection, 'dying-home', 'd1')
     const homes = deployment.proxies.filter(({ kernel }) =>
-      [...kernel.use('routing').homes().values()].some((group) => group.busy > 0))
+      [...kernel.use('routing').homes().values()].some((group) => group.activeCount > 0))
     const position = deployment.primaryOf(GROUP).upstream.log.end.position
     deployment.standins.groups.get(GROUP)!.forEach(({ upstream }) => { upstream.lagMs = 300 })
     const committing = connection.query('COMMIT')
