--- a/src/mysql-proxy/routing/begin-transaction.ts
+++ b/src/mysql-proxy/routing/begin-transaction.ts
@@ -1,6 +1,6 @@
 /**
- * Begins transactions: pins a connection to the primary and turns autocommit off there. Repeats a begin whose
- * connection broke, since nothing has run then (`what-is-repeated.ts`).
+ * Begins transactions: pins a connection to the primary and disables autocommit on it. A begin that loses its
+ * connection is retried, because no statement of the transaction has run yet.
  */
 import { pause, type Deadline } from '../../core/time/deadline.ts'
 import { EMPTY_ANSWER } from '../../mysql/types.ts'
@@ -8,22 +8,22 @@
 import type { TransactionGroup } from './commit-transaction.ts'
 import { transactionLost } from './transaction-table.ts'
 import type { HomeReply } from './types.ts'
-import { mayRepeatBegin } from './what-is-repeated.ts'
+import { mayRetryBegin } from './what-is-repeated.ts'
 
-/** Pause before a begin is repeated, in milliseconds, in which a new primary may be announced. */
-const BEGIN_RETRY_MS = 20
-/** A begin is repeated while this many pauses are left, so that one fits in with time to run. */
-const PAUSES_LEFT = 2
-/** Priority of a begin in the queue for connections. */
+/** Delay before a begin is retried, in milliseconds; leaves time for a new primary to be announced. */
+const BEGIN_RETRY_DELAY_MS = 20
+/** Least time left for a retry, in retry delays: one to wait and one for the begin itself. */
+const MIN_DELAYS_LEFT = 2
+/** Priority of a begin in the connection queue. */
 const TRANSACTION_PRIORITY = 5
 
 /**
  * Begins a transaction on the current primary.
  *
- * @param group - the group
- * @param transaction - identity and service
- * @param deadline - when to give up
- * @returns the reply
+ * @param group - the group and its connections
+ * @param transaction - identifier of the transaction, and the service that opens it
+ * @param deadline - deadline of the request
+ * @returns an empty answer and the name of the upstream
  * @throws RequestError with verdict `not-run`
  */
 export async function beginTransaction (
@@ -33,10 +33,10 @@
     try {
       return await beginOnce(group, transaction, deadline)
     } catch (thrown) {
-      if (!mayRepeatBegin(thrown) || deadline.leftMs < BEGIN_RETRY_MS * PAUSES_LEFT) {
+      if (!mayRetryBegin(thrown) || deadline.leftMs < BEGIN_RETRY_DELAY_MS * MIN_DELAYS_LEFT) {
         throw thrown
       }
-      await pause(BEGIN_RETRY_MS)
+      await pause(BEGIN_RETRY_DELAY_MS)
     }
   }
 }
--- a/src/mysql-proxy/routing/commit-transaction.ts
+++ b/src/mysql-proxy/routing/commit-transaction.ts
@@ -1,6 +1,6 @@
 /**
- * Ends transactions with a commit: enters the key if the transaction may have written, waits for the acknowledgement,
- * and settles the outcome when the answer is lost (see `settle.ts`).
+ * Commits transactions. A transaction that may have written is committed under its request key and waits for
+ * replication; when the answer is lost, the outcome is settled by that key (`settle.ts`).
  */
 import type { Kind } from '../../core/config/index.ts'
 import { RequestError } from '../../core/errors/index.ts'
@@ -10,21 +10,21 @@
 import type { ConnectionPool } from '../upstreams/connection-pool.ts'
 import type { GroupView } from '../upstreams/group-view.ts'
 import { logEnd } from '../upstreams/status.ts'
-import { acknowledge } from './acknowledgement.ts'
-import { commitUnderKey, replayRecord } from './commit.ts'
-import { settle } from './settle.ts'
+import { waitForAcknowledgement } from './acknowledgement.ts'
+import { commitUnderKey, answerFromRecord } from './commit.ts'
+import { settleOutcome } from './settle.ts'
 import { transactionLost, type OpenTransaction, type TransactionTable } from './transaction-table.ts'
 import type { CommitRequest, HomeReply, SettleRequest } from './types.ts'
-import { isDoubtful } from './what-is-repeated.ts'
+import { hasUnknownOutcome } from './what-is-repeated.ts'
 
-/** A transaction's group, its connections and its table. */
+/** A group with its connection pools and open transactions. */
 export interface TransactionGroup {
   view: GroupView
   pools: Map<string, ConnectionPool>
   table: TransactionTable
 }
 
-/** How a commit is acknowledged and queued while its outcome is settled. */
+/** Kind under which a commit is acknowledged, and under which its outcome is settled. */
 export const COMMIT_KIND: Kind = {
   access: 'write',
   acknowledgement: 'replicated',
@@ -37,26 +37,26 @@
 /**
  * Commits a transaction.
  *
- * @param group - the group
- * @param request - the transaction and its key
- * @param deadline - when to give up
- * @returns the reply, with the place in the log that the session has now seen
- * @throws RequestError whose verdict says whether the transaction may have committed
+ * @param group - the group and its open transactions
+ * @param request - the transaction and its request key
+ * @param deadline - deadline of the request
+ * @returns the reply; when the transaction wrote, with the log position that the session has reached
+ * @throws RequestError whose verdict states whether the transaction may have committed
  */
 export async function commitTransaction (
   group: TransactionGroup, request: CommitRequest, deadline: Deadline
 ): Promise<HomeReply> {
   const { table } = group
   const id = request.transactionId
-  const attempt = attemptOf(request)
+  const attempt = toKeyedAttempt(request)
   try {
-    const reply = await table.step(id, async (transaction) =>
+    const reply = await table.runStep(id, async (transaction) =>
       await commitStep(group.view, transaction, { writes: request.writes, attempt, deadline }))
     table.end(id, true)
     return reply
   } catch (thrown) {
     table.end(id, false)
-    if (isDoubtful(thrown)) {
+    if (hasUnknownOutcome(thrown)) {
       return await settleAttempt(group, attempt, deadline)
     }
     if (thrown instanceof RequestError && thrown.entry === 'StatementFailed') {
@@ -67,24 +67,24 @@
 }
 
 /**
- * Finds out whether a transaction committed, after its home was lost.
+ * Determines whether a transaction committed, after its home became unreachable.
  *
  * @param group - the group
  * @param request - key and fingerprint of the transaction
- * @param deadline - when to give up
+ * @param deadline - deadline of the request
  * @returns the recorded answer when it committed
- * @throws RequestError as `settle`
+ * @throws RequestError as {@link settleOutcome}
  */
 export async function settleTransaction (
   group: TransactionGroup, request: SettleRequest, deadline: Deadline
 ): Promise<HomeReply> {
-  return await settleAttempt(group, attemptOf(request), deadline)
+  return await settleAttempt(group, toKeyedAttempt(request), deadline)
 }
 
 async function settleAttempt (
   { view, pools }: TransactionGroup, attempt: KeyedAttempt, deadline: Deadline
 ): Promise<HomeReply> {
-  return await settle({ view, pools, kind: COMMIT_KIND, deadline }, attempt)
+  return await settleOutcome({ view, pools, kind: COMMIT_KIND, deadline }, attempt)
 }
 
 async function commitStep (
@@ -103,12 +103,12 @@
     throw transactionLost('an earlier attempt under its key was given up; send the transaction again under a new key')
   }
   if (replayed) {
-    replayRecord(record, attempt)
+    answerFromRecord(record, attempt)
   }
-  await acknowledge({ view, kind: COMMIT_KIND, deadline }, target, logEnd(status))
+  await waitForAcknowledgement({ view, kind: COMMIT_KIND, deadline }, target, logEnd(status))
   return { answer: EMPTY_ANSWER, floor: { ...logEnd(status), seenOn: [] }, upstream, replayed }
 }
 
-function attemptOf ({ service, key, fingerprint }: CommitRequest | SettleRequest): KeyedAttempt {
+function toKeyedAttempt ({ service, key, fingerprint }: CommitRequest | SettleRequest): KeyedAttempt {
   return { scope: service, key, fingerprint, attempt: 1 }
 }
--- a/src/mysql-proxy/routing/commit.ts
+++ b/src/mysql-proxy/routing/commit.ts
@@ -1,6 +1,6 @@
 /**
- * Runs a statement in a transaction of its own and commits it, under a request key or without one. Relies on the
- * ledger's procedures of the upstream.
+ * Runs a statement in its own transaction and commits it, with or without a request key, through the ledger's stored
+ * procedures on the upstream.
  */
 import { RequestError, type Verdict } from '../../core/errors/index.ts'
 import type { Deadline } from '../../core/time/deadline.ts'
@@ -14,34 +14,34 @@
 import type { WriteTarget } from './primary-work.ts'
 import type { HomeReply } from './types.ts'
 
-/** A write that has committed on the primary and waits for its acknowledgement. */
+/** A write that the primary has committed and that isn't acknowledged yet. */
 export interface CommittedWrite {
   answer: Answer
-  place: LogPosition
+  position: LogPosition
   replayed: boolean
 }
 
-/** Result of a commit: the record of the ledger, and the primary's status after it. */
+/** Ledger record of a commit, and the primary's status after it. */
 interface CommitResult {
   record: LedgerRecord
   status: UpstreamStatus
 }
 
-/** A committed statement. */
+/** A committed statement and its answer. */
 interface CommittedStatement extends CommitResult {
   answer: Answer
 }
 
 /**
- * Commits the open transaction and enters its attempt in the ledger, in one step. When the key is taken, the
- * transaction is rolled back.
+ * Commits the open transaction and inserts its attempt into the ledger atomically. When the key already has a record,
+ * the transaction is rolled back.
  *
- * @param client - the connection
- * @param attempt - the attempt; nothing is entered when absent
- * @param answer - the outcome to record
- * @param deadline - when to give up
- * @param lostVerdict - the verdict to give when the answer is lost
- * @returns the result of the commit
+ * @param client - connection with the open transaction
+ * @param attempt - the attempt; without it nothing is inserted into the ledger
+ * @param answer - the answer to record
+ * @param deadline - deadline of the request
+ * @param lostVerdict - verdict of the error when the connection is lost before the answer
+ * @returns the ledger record and the primary's status
  */
 export async function commitUnderKey (
   client: Client, attempt: KeyedAttempt | undefined, answer: Answer, deadline: Deadline, lostVerdict: Verdict
@@ -55,12 +55,12 @@
 /**
  * Runs a statement in a transaction of its own.
  *
- * @param client - the connection
+ * @param client - connection to the upstream
  * @param statement - the statement
- * @param attempt - its attempt; nothing is entered in the ledger when absent
- * @param deadline - when to give up
- * @param lostVerdict - the verdict to give when the answer to the commit is lost
- * @returns the answer and the result of the commit
+ * @param attempt - the attempt; without it nothing is inserted into the ledger
+ * @param deadline - deadline of the request
+ * @param lostVerdict - verdict of the error when the connection is lost during the commit
+ * @returns the answer, the ledger record and the upstream's status
  */
 export async function runAndCommit (
   client: Client, statement: Statement, attempt: KeyedAttempt | undefined, deadline: Deadline, lostVerdict: Verdict
@@ -71,14 +71,14 @@
 }
 
 /**
- * Decides by the standing record of a key.
+ * Rebuilds the answer of an earlier attempt from its ledger record.
  *
- * @param record - the record
- * @param attempt - the attempt that met it
+ * @param record - record of the key
+ * @param attempt - the later attempt under the same key
  * @returns the recorded answer
- * @throws RequestError with verdict `not-run`
+ * @throws RequestError `KeyReused` when the record belongs to another request
  */
-export function replayRecord (record: LedgerRecord, attempt: KeyedAttempt): DoneAnswer {
+export function answerFromRecord (record: LedgerRecord, attempt: KeyedAttempt): DoneAnswer {
   if (record.fingerprint !== attempt.fingerprint) {
     throw new RequestError('not-run', 'KeyReused', { key: attempt.key })
   }
@@ -86,26 +86,26 @@
 }
 
 /**
- * Lists the arguments that name an attempt in a ledger procedure.
+ * Lists the arguments that identify an attempt in a call of a ledger procedure.
  *
  * @param attempt - the attempt
- * @returns scope, key, fingerprint, attempt and time
+ * @returns scope, key, fingerprint, attempt number and current time in milliseconds since the epoch
  */
 export function ledgerArguments ({ scope, key, fingerprint, attempt }: KeyedAttempt): Array<string | number> {
   return [scope, key, fingerprint, attempt, Date.now()]
 }
 
 /**
- * Describes a committed write to the caller's proxy.
+ * Converts a committed write to a reply for the caller's proxy.
  *
  * @param committed - the write
- * @param target - the primary that has it
+ * @param target - primary that committed the write
  * @returns the reply
  */
-export function describeWrite (committed: CommittedWrite, target: WriteTarget): HomeReply {
+export function toWriteReply (committed: CommittedWrite, target: WriteTarget): HomeReply {
   return {
     answer: committed.answer,
-    floor: { ...committed.place, seenOn: [] },
+    floor: { ...committed.position, seenOn: [] },
     upstream: target.view.declaration.name,
     fromReplica: false,
     replayed: committed.replayed
@@ -116,7 +116,7 @@
   try {
     return await client.run(statement, deadline.leftMs, 'not-run')
   } catch (thrown) {
-    // A connection that cannot roll back is closed, and the upstream rolls back with it.
+    // If the rollback fails, closing the connection makes the upstream roll back.
     await client.run({ sql: 'ROLLBACK' }, deadline.leftMs, 'not-run').catch(() => client.close())
     throw thrown
   }
--- a/src/mysql-proxy/routing/evidence-reports.ts
+++ b/src/mysql-proxy/routing/evidence-reports.ts
@@ -1,13 +1,13 @@
 /**
- * Reports upstreams that failed a request here to the keepers of their group, as observations of this host's failure
- * domain. Owns nothing; relies on membership for the keepers.
+ * Reports upstreams that failed a request on this host to the keepers of their group, which use the reports as evidence
+ * for a failover.
  */
 import type { Peers } from '../../peers/index.ts'
 import { placeGroup } from '../../placement/group-homes.ts'
 import { KEEPERS_PER_GROUP } from '../failover/types.ts'
 import type { Membership } from '../membership/index.ts'
 
-/** Time for the answer to a report, in milliseconds. */
+/** Timeout of a report, in milliseconds. */
 const REPORT_TIMEOUT_MS = 500
 
 /** Options of {@link createEvidenceReports}. */
@@ -21,9 +21,9 @@
 }
 
 /**
- * Creates the reports of a process.
+ * Creates a function that reports a failed upstream to the keepers of its group.
  *
- * @param options - this host, and the way to the keepers
+ * @param options - this host, its membership view and its peer links
  * @returns reports an upstream of a group that failed in a term
  */
 export function createEvidenceReports (
@@ -32,7 +32,7 @@
   return (group, upstream, term) => {
     const evidence = { group, upstream, term, failureDomain, host }
     placeGroup(group, membership.present('keeper'), KEEPERS_PER_GROUP).forEach((keeper) => {
-      // A lost report is not repeated: keepers probe upstreams themselves, and the next failed request reports again.
+      // A lost report isn't resent: keepers also probe upstreams, and the next failed request reports again.
       peers.request(keeper, 'evidence', evidence, REPORT_TIMEOUT_MS).catch(() => {})
     })
   }
--- a/src/mysql-proxy/routing/group-counts.ts
+++ b/src/mysql-proxy/routing/group-counts.ts
@@ -1,6 +1,6 @@
-/** Counts of what a home did for a group, for metrics and dumps. */
+/** Counters of the requests that a home served for a group, for metrics and dumps. */
 
-/** Counts of one group at one home. */
+/** Counters of one group at one home. */
 export interface GroupCounts {
   readsOnReplicas: number
   readsOnPrimary: number
@@ -12,19 +12,19 @@
 }
 
 /**
- * Creates counts.
+ * Creates counters that start at zero.
  *
- * @returns the counts, all zero
+ * @returns the counters
  */
 export function createGroupCounts (): GroupCounts {
   return { readsOnReplicas: 0, readsOnPrimary: 0, writes: 0, replays: 0, retries: 0, refused: 0, transactions: 0 }
 }
 
 /**
- * Adds counts up.
+ * Sums counters by name.
  *
- * @param all - the counts
- * @returns their sum
+ * @param all - counters of several groups
+ * @returns the sums
  */
 export function sumCounts (all: GroupCounts[]): GroupCounts {
   const sum = createGroupCounts()
--- a/src/mysql-proxy/routing/group-home.ts
+++ b/src/mysql-proxy/routing/group-home.ts
@@ -1,6 +1,6 @@
 /**
- * One database group at one of its homes. Owns the group's view, its connection pools, its open transactions and the
- * budget of its retries, and wires them to the handlers of requests.
+ * One database group at one of its homes (proxies that connect to the group's upstreams and run its requests). Owns the
+ * group's view, connection pools, open transactions and retry budget, and passes them to the request handlers.
  */
 import type { Group } from '../../core/config/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -23,10 +23,10 @@
   dialer: Dialer
   logger: Logger
   failureDomain: string
-  /** Seed of the choice between replicas. */
+  /** Seed for the random choice between replicas. */
   seed: number
-  /** Called when an upstream stops answering, so that keepers learn of it. */
-  onEvidence: (upstream: string, term: number) => void
+  /** Called when an upstream becomes unreachable, to report it to the keepers. */
+  onUpstreamFailure: (upstream: string, term: number) => void
 }
 
 /** One group at one of its homes. */
@@ -41,25 +41,25 @@
    * @throws RequestError
    */
   serve: (request: HomeRequest) => Promise<HomeReply>
-  /** Replaces the declarations. */
+  /** Applies a changed declaration of the group. */
   update: (group: Group) => void
-  /** Deletes a batch of request keys that need not be remembered; returns how many. */
+  /** Deletes a batch of expired request keys; returns the number deleted. */
   sweepLedger: () => Promise<number>
-  /** Requests and transactions in progress. */
+  /** Number of requests in progress and open transactions. */
   readonly activeCount: number
   dump: () => unknown
   close: () => void
 }
 
-/** Time a status question may take, in milliseconds. */
+/** Timeout of a status query to an upstream, in milliseconds. */
 const STATUS_TIMEOUT_MS = 250
-/** Time between two probes of the upstreams while requests are in progress, in milliseconds. */
-const WATCH_MS = 100
+/** Interval of status queries to the upstreams while requests are in progress, in milliseconds. */
+const REFRESH_INTERVAL_MS = 100
 
 /**
  * Creates the home of a group.
  *
- * @param options - the group and how to reach it
+ * @param options - the group, its declaration and how to connect to its upstreams
  * @returns the home
  */
 export function createGroupHome (options: GroupHomeOptions): GroupHome {
@@ -71,7 +71,7 @@
   const groupPools = createGroupPools(options)
   const pools = groupPools.byName
   const view = createHomeView(options, groupPools)
-  const transactions = createTransactions({ view, pools, greatestMs: () => state.group.limits.transactionMs })
+  const transactions = createTransactions({ view, pools, maxOpenMs: () => state.group.limits.transactionMs })
   const sweeper = startLedgerSweeper({ view, pools, group })
   const spendRetry = (): boolean => {
     const isGranted = budget.spend()
@@ -86,7 +86,7 @@
   const reads = createHomeReads({ name, view, pools, failureDomain, seed, group, spendRetry, onServed })
   const handle = createRequestHandlers({ view, pools, group, counts, reads, transactions, spendRetry })
   const requests = createRequestCounter({ handle, budget, counts })
-  const stopWatch = refreshWhile(view, () => requests.inProgress > 0)
+  const stopRefresh = refreshWhile(view, () => requests.inProgress > 0)
 
   return {
     view,
@@ -98,16 +98,16 @@
       groupPools.update(changed)
     },
     sweepLedger: sweeper.sweep,
-    get activeCount () { return requests.inProgress + transactions.open },
+    get activeCount () { return requests.inProgress + transactions.openCount },
     dump: () => ({
       view: view.dump(),
       pools: Object.fromEntries([...pools].map(([upstream, pool]) => [upstream, pool.state()])),
       counts,
-      openTransactions: transactions.open,
+      openTransactions: transactions.openCount,
       retryBalance: Math.round(budget.balance)
     }),
     close: () => {
-      stopWatch()
+      stopRefresh()
       sweeper.close()
       transactions.close()
       groupPools.close()
@@ -116,9 +116,9 @@
   }
 }
 
-/** Connections to an upstream that stops answering or leading are broken, so that no request waits for it. */
+/** Creates the view. Aborts connections to upstreams that are unreachable or no longer primary. */
 function createHomeView (
-  { name, group, dialer, logger, onEvidence }: GroupHomeOptions, pools: ReturnType<typeof createGroupPools>
+  { name, group, dialer, logger, onUpstreamFailure }: GroupHomeOptions, pools: ReturnType<typeof createGroupPools>
 ): GroupView {
   const view: GroupView = new GroupView({
     name,
@@ -132,7 +132,7 @@
     onUnreachable: (upstream, reason) => {
       logger.log('warn', 'upstream.unreachable', { group: name, upstream, reason })
       pools.byName.get(upstream)?.abort()
-      onEvidence(upstream, view.leadership.term)
+      onUpstreamFailure(upstream, view.leadership.term)
     }
   })
   return view
@@ -143,7 +143,7 @@
     if (isNeeded()) {
       view.refresh()
     }
-  }, WATCH_MS)
+  }, REFRESH_INTERVAL_MS)
   timer.unref()
   return () => clearInterval(timer)
 }
--- a/src/mysql-proxy/routing/home-reads.ts
+++ b/src/mysql-proxy/routing/home-reads.ts
@@ -1,6 +1,6 @@
 /**
- * Reads at the home of a group: runs them, repeats those whose connection broke, and explains where one would run. Owns
- * the random numbers for the choice between replicas.
+ * Reads at the home of a group: runs them, retries those whose connection was lost, and explains which upstream a read
+ * would use.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
@@ -13,34 +13,34 @@
 import type { ExecuteRequest, ExplainRequest, HomeReply } from './types.ts'
 import { isConnectionLost } from './what-is-repeated.ts'
 
-/** Pause before a read is repeated, in milliseconds. */
-const RETRY_PAUSE_MS = 5
+/** Delay before a read is retried, in milliseconds. */
+const RETRY_DELAY_MS = 5
 
 /** Options of {@link createHomeReads}. */
 interface HomeReadsOptions extends Pick<ReadOptions, 'view' | 'pools' | 'failureDomain'> {
   name: string
-  /** The declarations in force. */
+  /** Returns the current declaration of the group. */
   group: () => Group
-  /** Seed of the choice between replicas. */
+  /** Seed for the random choice between replicas. */
   seed: number
-  /** Takes a retry from the budget; false when there is none. */
+  /** Takes a retry from the budget; returns false when the budget is exhausted. */
   spendRetry: () => boolean
-  /** Called after each read that was served. */
+  /** Called after each successful read. */
   onServed: (fromReplica: boolean) => void
 }
 
-/** Reads of a group. */
+/** Runs and explains the reads of a group. */
 export interface HomeReads {
   execute: (request: ExecuteRequest) => Promise<HomeReply>
-  /** Returns where a statement would run, and why. */
+  /** Returns a row with the upstream that a statement would run on, and the reason. */
   explain: (request: ExplainRequest) => Promise<HomeReply>
 }
 
 /**
- * Creates the reads of a home.
+ * Creates the read handlers of a home.
  *
- * @param options - the group and how to reach it
- * @returns the reads
+ * @param options - the group, its view and its connection pools
+ * @returns the read handlers
  */
 export function createHomeReads (options: HomeReadsOptions): HomeReads {
   const { name, view, pools, failureDomain, spendRetry, onServed } = options
@@ -77,7 +77,7 @@
           if (!isConnectionLost(thrown) || read.deadline.passed || !spendRetry()) {
             throw thrown
           }
-          await pause(RETRY_PAUSE_MS)
+          await pause(RETRY_DELAY_MS)
         }
       }
     },
--- a/src/mysql-proxy/routing/home-requests.ts
+++ b/src/mysql-proxy/routing/home-requests.ts
@@ -1,68 +1,70 @@
 /**
- * Sends requests to a home of their group, here or over a peer link. Owns the count of requests passed on; relies on
- * membership for the order of homes and on `what-is-repeated.ts` for when another home is tried.
+ * Sends requests to a home of their group, in this process or over a peer link, and tries the next home when a failure
+ * allows it (`what-is-repeated.ts`).
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { Membership } from '../membership/index.ts'
 import type { Member } from '../membership/types.ts'
 import type { Peers } from '../../peers/index.ts'
 import type { HomeReply, HomeRequest } from './types.ts'
-import { asDoubtful, isDoubtful, mayTryElsewhere } from './what-is-repeated.ts'
+import { withUnknownOutcome, hasUnknownOutcome, mayTryAnotherHome } from './what-is-repeated.ts'
 
 /** Options of {@link createHomeRequests}. */
 interface HomeRequestsOptions {
   membership: Membership
   peers: Peers
-  /** Homes of a group, best first. */
+  /** Returns the homes of a group, best first. */
   homesOf: (group: string) => Member[]
-  /** Serves a request here. */
-  serveHere: (request: HomeRequest) => Promise<HomeReply>
+  /** Serves a request in this process. */
+  serveLocally: (request: HomeRequest) => Promise<HomeReply>
 }
 
-/** Sends requests to homes. */
+/** Sender of requests to homes. */
 export interface HomeRequests {
   /**
-   * Sends a request to a home of its group; to another one when the first certainly did not run it.
+   * Sends a request to a home of its group, and to the next one after a failure that allows it.
    *
    * @param request - the request
-   * @returns the reply and who gave it
+   * @returns the reply and the host that served it
+   * @throws RequestError
    */
   send: (request: HomeRequest) => Promise<ServedReply>
   /**
-   * Sends a request to one home only, for transactions stay where they began.
+   * Sends a request to one home only, as the statements of a transaction require.
    *
    * @param home - name of the host
    * @param request - the request
+   * @throws RequestError
    */
   sendTo: (home: string, request: HomeRequest) => Promise<HomeReply>
-  /** Requests passed on to other proxies. */
+  /** Number of requests forwarded to other proxies. */
   readonly passedOn: number
 }
 
-/** A reply and the host that gave it. */
+/** A reply and the host that served it. */
 interface ServedReply {
   reply: HomeReply
   home: string
 }
 
-/** Added to a request's time when another process answers it, so that its verdict arrives, in milliseconds. */
+/** Added to the timeout of a forwarded request, so that the home's verdict can arrive first, in milliseconds. */
 const ANSWER_GRACE_MS = 250
-/** Time after which a caller should come back when a group has no home, in milliseconds. */
+/** Suggested retry delay for callers when a group has no home, in milliseconds. */
 const RETRY_AFTER_MS = 100
 
 /**
- * Creates the sender.
+ * Creates a sender of requests to homes.
  *
- * @param options - members, links and this process's own homes
+ * @param options - membership, peer links, placement and the homes of this process
  * @returns the sender
  */
 export function createHomeRequests (options: HomeRequestsOptions): HomeRequests {
-  const { membership, peers, homesOf, serveHere } = options
+  const { membership, peers, homesOf, serveLocally } = options
   let passedOn = 0
 
   const sendToMember = async (member: Member, request: HomeRequest): Promise<HomeReply> => {
     if (member.host === membership.self.host) {
-      return await serveHere(request)
+      return await serveLocally(request)
     }
     passedOn++
     try {
@@ -75,13 +77,13 @@
     }
   }
 
-  const inOrder = (group: string): Member[] => {
+  const homesByPreference = (group: string): Member[] => {
     const rank = (member: Member): number => {
       if (member.host === membership.self.host) {
         return 0
       }
-      const near = member.failureDomain === membership.self.failureDomain ? 1 : 2
-      return membership.answers(member.host) ? near : near + 2
+      const domainRank = member.failureDomain === membership.self.failureDomain ? 1 : 2
+      return membership.answers(member.host) ? domainRank : domainRank + 2
     }
     return homesOf(group).sort((left, right) => rank(left) - rank(right))
   }
@@ -91,8 +93,8 @@
     send: async (request) => {
       const startedAt = performance.now()
       let failure: unknown
-      let doubtful = false
-      for (const member of inOrder(request.group)) {
+      let mayHaveRun = false
+      for (const member of homesByPreference(request.group)) {
         const leftMs = request.deadlineMs - (performance.now() - startedAt)
         if (leftMs <= 0) {
           break
@@ -100,11 +102,11 @@
         try {
           return { reply: await sendToMember(member, { ...request, deadlineMs: leftMs }), home: member.host }
         } catch (thrown) {
-          failure = doubtful ? asDoubtful(thrown) : thrown
-          if (!mayTryElsewhere(thrown, request)) {
+          failure = mayHaveRun ? withUnknownOutcome(thrown) : thrown
+          if (!mayTryAnotherHome(thrown, request)) {
             throw failure
           }
-          doubtful ||= isDoubtful(thrown)
+          mayHaveRun ||= hasUnknownOutcome(thrown)
         }
       }
       throw failure ?? new RequestError('not-run', 'NoUpstream', {
--- a/src/mysql-proxy/routing/index.ts
+++ b/src/mysql-proxy/routing/index.ts
@@ -1,6 +1,6 @@
 /**
- * Plug-in `routing`: brings each request to a home of its group, and is a home itself. Wires the homes of this process
- * to configuration, membership and peers.
+ * Plug-in `routing`: sends each request to a home of its group, and serves the groups that are placed on this process.
+ * Connects the homes of this process to configuration, membership and peer links.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { ProxySettings } from '../../core/config/index.ts'
@@ -16,15 +16,15 @@
 import { createPlacementCache } from './placement-cache.ts'
 import type { HomeReply, HomeRequest } from './types.ts'
 
-/** Service of the plug-in. */
+/** Service that the plug-in provides. */
 export interface Routing extends HomeRequests {
-  /** Homes of a group, best first. */
+  /** Returns the homes of a group, best first. */
   homesOf: (group: string) => Member[]
-  /** Opens all groups that are placed here, and asks their upstreams, so that their state can be shown. */
+  /** Opens all groups placed on this process and refreshes the status of their upstreams, for display to operators. */
   openPlacedGroups: () => Promise<void>
-  /** Groups that this process serves as a home. */
+  /** Returns the open homes of this process, by group. */
   homes: () => Map<string, GroupHome>
-  /** Counts summed over all groups served here. */
+  /** Returns the counters summed over all groups served by this process. */
   counts: () => GroupCounts
 }
 
@@ -32,7 +32,7 @@
   interface Services { routing: Routing }
 }
 
-/** Requests of open transactions, which a home that is draining still serves. */
+/** Requests of open transactions, which are still served while this process drains. */
 const TRANSACTION_STEPS: ReadonlySet<HomeRequest['type']> = new Set(['transaction-execute', 'commit', 'rollback'])
 
 registerPlugin({
@@ -63,20 +63,20 @@
         dialer: context.dialer,
         logger: context.logger,
         failureDomain,
-        seed: seedOf(host + name),
-        onEvidence: (upstream, term) => reportEvidence(name, upstream, term)
+        seed: hashSeed(host + name),
+        onUpstreamFailure: (upstream, term) => reportEvidence(name, upstream, term)
       })
     })
     configuration.onChange(({ name, group }) => homes.update(name, group))
 
-    const serveHere = async (request: HomeRequest): Promise<HomeReply> => {
+    const serveLocally = async (request: HomeRequest): Promise<HomeReply> => {
       if (draining && !TRANSACTION_STEPS.has(request.type)) {
         throw new RequestError('not-run', 'Stopping', { host })
       }
       return await homes.homeOf(request.group).serve(request)
     }
-    handlePeerRequests(context, homes.byGroup, serveHere)
-    const requests = createHomeRequests({ membership, peers, homesOf, serveHere })
+    handlePeerRequests(context, homes.byGroup, serveLocally)
+    const requests = createHomeRequests({ membership, peers, homesOf, serveLocally })
 
     return {
       service: {
@@ -84,7 +84,7 @@
         send: requests.send,
         sendTo: requests.sendTo,
         homesOf,
-        openPlacedGroups: homes.openPlaced,
+        openPlacedGroups: homes.openPlacedGroups,
         homes: () => homes.byGroup,
         counts: () => sumCounts([...homes.byGroup.values()].map(({ counts }) => counts))
       },
@@ -102,9 +102,9 @@
   }
 })
 
-/** Requests that other proxies pass on, and new primaries that keepers announce. */
+/** Handles requests forwarded by other proxies, and new primaries announced by keepers. */
 function handlePeerRequests (
-  context: PluginContext, homes: Map<string, GroupHome>, serveHere: (request: HomeRequest) => Promise<HomeReply>
+  context: PluginContext, homes: Map<string, GroupHome>, serveLocally: (request: HomeRequest) => Promise<HomeReply>
 ): void {
   const peers = context.use('peers')
   const linkTransactions = createLinkTransactions()
@@ -113,12 +113,12 @@
     const request = body as HomeRequest
     if (request.type === 'begin') {
       linkTransactions.add(link, request.transactionId, () => {
-        // The link is gone, so nobody waits for the outcome; the transaction leaves the table whether it fails or not.
+        // The peer has disconnected and needs no reply. The transaction is removed even if its rollback fails.
         homes.get(request.group)?.serve({ ...request, type: 'rollback' }).catch(() => {})
       })
     }
     try {
-      return await serveHere(request)
+      return await serveLocally(request)
     } finally {
       if (request.type === 'commit' || request.type === 'rollback') {
         linkTransactions.remove(link, request.transactionId)
@@ -132,7 +132,7 @@
   })
 }
 
-/** Hashes a text to a seed; any hash that differs between homes will do. */
-function seedOf (text: string): number {
+/** Hashes a text to a seed, so that each home chooses replicas in a different order. */
+function hashSeed (text: string): number {
   return [...text].reduce((hash, character) => (hash * 31 + character.charCodeAt(0)) | 0, 7)
 }
--- a/src/mysql-proxy/routing/placed-homes.ts
+++ b/src/mysql-proxy/routing/placed-homes.ts
@@ -1,6 +1,6 @@
 /**
- * The groups that this process is a home to. Owns the homes: one opens with the first request for its group, and closes
- * when the group is removed, or when it is placed elsewhere and idle.
+ * The open homes of this process. A home opens with the first request for its group, and closes when the group is
+ * removed, or when the group is placed on other processes and the home is idle.
  */
 import type { Group } from '../../core/config/index.ts'
 import { RequestError } from '../../core/errors/index.ts'
@@ -8,10 +8,10 @@
 import type { Configuration } from '../configuration/index.ts'
 import type { GroupHome } from './group-home.ts'
 
-/** Time between two checks for groups that are no longer placed here, in milliseconds. */
-const RELEASE_MS = 1000
-/** Pause between two checks whether everything in flight is done, in milliseconds. */
-const DRAIN_POLL_MS = 10
+/** Interval of the check for homes whose groups have moved to other processes, in milliseconds. */
+const RELEASE_CHECK_INTERVAL_MS = 1000
+/** Interval at which a stopping process polls for homes that are still active, in milliseconds. */
+const IDLE_POLL_INTERVAL_MS = 10
 
 /** Options of {@link createPlacedHomes}. */
 interface PlacedHomesOptions {
@@ -21,29 +21,29 @@
   open: (name: string, group: Group) => GroupHome
 }
 
-/** Homes of this process. */
+/** Open homes of this process. */
 interface PlacedHomes {
   readonly byGroup: Map<string, GroupHome>
   /**
-   * Returns the home of a group, and opens it if it is not open.
+   * Returns the home of a group, opening it if necessary.
    *
-   * @param name - the group
+   * @param name - name of the group
    * @throws RequestError `UnknownGroup`
    */
   homeOf: (name: string) => GroupHome
-  /** Takes a changed group over; null when it was removed. */
+  /** Applies a changed declaration to an open home; null closes it. */
   update: (name: string, group: Group | null) => void
-  /** Opens all groups that are placed here, and asks their upstreams, so that their state can be shown. */
-  openPlaced: () => Promise<void>
-  /** Waits until nothing is in progress, for `timeoutMs` milliseconds at most. */
+  /** Opens all groups placed on this process and refreshes the status of their upstreams, for display to operators. */
+  openPlacedGroups: () => Promise<void>
+  /** Waits until no home is active, for at most `timeoutMs` milliseconds. */
   waitUntilIdle: (timeoutMs: number) => Promise<void>
   close: () => void
 }
 
 /**
- * Creates the homes of this process, none open.
+ * Creates the set of homes of this process, initially empty.
  *
- * @param options - placement, declarations, and how a home is opened
+ * @param options - declarations, placement and a function that opens a home
  * @returns the homes
  */
 export function createPlacedHomes ({ configuration, isPlacedHere, open }: PlacedHomesOptions): PlacedHomes {
@@ -63,7 +63,7 @@
     return home
   }
 
-  const release = (): void => {
+  const closeUnplacedHomes = (): void => {
     for (const [name, home] of byGroup) {
       if (!isPlacedHere(name) && home.activeCount === 0) {
         home.close()
@@ -71,7 +71,7 @@
       }
     }
   }
-  const timer = setInterval(release, RELEASE_MS)
+  const timer = setInterval(closeUnplacedHomes, RELEASE_CHECK_INTERVAL_MS)
   timer.unref()
 
   return {
@@ -86,14 +86,14 @@
       }
       home?.update(group)
     },
-    openPlaced: async () => {
+    openPlacedGroups: async () => {
       const names = configuration.versions().filter(({ group }) => group !== null).map(({ name }) => name)
       await Promise.all(names.filter(isPlacedHere).map(async (name) => await homeOf(name).view.refreshNow()))
     },
     waitUntilIdle: async (timeoutMs) => {
       const until = performance.now() + timeoutMs
       while ([...byGroup.values()].some((home) => home.activeCount > 0) && performance.now() < until) {
-        await pause(DRAIN_POLL_MS)
+        await pause(IDLE_POLL_INTERVAL_MS)
       }
     },
     close: () => {
--- a/src/mysql-proxy/routing/placement-cache.ts
+++ b/src/mysql-proxy/routing/placement-cache.ts
@@ -1,31 +1,31 @@
 /**
- * Placements that were asked for, kept up to date when members come and go. Ranking all members for a group takes time
- * in proportion to their number; a change of members drops only the placements that it touches.
+ * Cache of group placements. Placing a group ranks all members, so a membership change invalidates only the placements
+ * that it can affect.
  */
 import { placeGroup, scoreOf, type Candidate } from '../../placement/group-homes.ts'
 
-/** A kept placement. */
-interface KeptPlacement<Member> {
+/** A cached placement of a group. */
+interface CachedPlacement<Member> {
   chosen: Member[]
   count: number
-  /** Score of the worst of the chosen. */
+  /** Lowest score among the chosen members. */
   lowestScore: bigint
 }
 
-/** Kept placements. */
+/** Cache of placements by group. */
 interface PlacementCache<Member extends Candidate> {
   /**
-   * Places a group.
+   * Returns the members that a group is placed on.
    *
-   * @param group - its name
-   * @param count - how many members to choose
-   * @returns the chosen ones, best first
+   * @param group - name of the group
+   * @param count - number of members to choose
+   * @returns the chosen members, best first
    */
   place: (group: string, count: number) => Member[]
   /**
-   * Replaces the members.
+   * Replaces the members, and invalidates the placements that the change affects.
    *
-   * @param members - the members
+   * @param members - all current members
    */
   update: (members: Member[]) => void
 }
@@ -33,56 +33,56 @@
 /**
  * Creates a cache without members.
  *
- * @returns the cache
+ * @returns the empty cache
  */
 export function createPlacementCache<Member extends Candidate> (): PlacementCache<Member> {
-  const kept = new Map<string, KeptPlacement<Member>>()
+  const cache = new Map<string, CachedPlacement<Member>>()
   let members = new Map<string, Member>()
 
-  const dropOf = (gone: Set<string>): void => kept.forEach(({ chosen }, group) => {
-    if (chosen.some(({ host }) => gone.has(host))) {
-      kept.delete(group)
+  const dropPlacementsOf = (removed: Set<string>): void => cache.forEach(({ chosen }, group) => {
+    if (chosen.some(({ host }) => removed.has(host))) {
+      cache.delete(group)
     }
   })
 
-  /** A newcomer matters to a group when it outranks one of the chosen, or when they lack failure domains. */
-  const dropOutranked = (newcomers: Member[]): void => kept.forEach(({ lowestScore, chosen, count }, group) => {
+  /** Drops placements in which an added member outranks a chosen one, or which span too few failure domains. */
+  const dropOutrankedPlacements = (added: Member[]): void => cache.forEach(({ lowestScore, chosen, count }, group) => {
     const domains = new Set(chosen.map(({ failureDomain }) => failureDomain))
-    const matters = domains.size < count || newcomers.some(({ host }) => scoreOf(group, host) > lowestScore)
-    if (matters) {
-      kept.delete(group)
+    const isAffected = domains.size < count || added.some(({ host }) => scoreOf(group, host) > lowestScore)
+    if (isAffected) {
+      cache.delete(group)
     }
   })
 
   return {
     place: (group, count) => {
-      const known = kept.get(group)
-      if (known?.count === count) {
-        return [...known.chosen]
+      const cached = cache.get(group)
+      if (cached?.count === count) {
+        return [...cached.chosen]
       }
       const chosen = placeGroup(group, [...members.values()], count)
       const scores = chosen.map(({ host }) => scoreOf(group, host))
       const lowestScore = scores.reduce((lowest, score) => score < lowest ? score : lowest, scores[0] ?? 0n)
-      kept.set(group, { chosen, count, lowestScore })
+      cache.set(group, { chosen, count, lowestScore })
       return [...chosen]
     },
     update: (current) => {
       const next = new Map(current.map((member) => [member.host, member]))
-      const gone = [...members.values()].filter((member) => !isSame(next.get(member.host), member))
-      const newcomers = current.filter((member) => !isSame(members.get(member.host), member))
+      const removed = [...members.values()].filter((member) => !isUnchanged(next.get(member.host), member))
+      const added = current.filter((member) => !isUnchanged(members.get(member.host), member))
       members = next
-      if (gone.length > 0) {
-        dropOf(new Set(gone.map(({ host }) => host)))
+      if (removed.length > 0) {
+        dropPlacementsOf(new Set(removed.map(({ host }) => host)))
       }
-      if (newcomers.length > 0) {
-        dropOutranked(newcomers)
+      if (added.length > 0) {
+        dropOutrankedPlacements(added)
       }
     }
   }
 }
 
-/** A member that started again may have another address. */
-function isSame (left: Candidate | undefined, right: Candidate): boolean {
+/** Whether two members are the same process; a restarted process may have another address. */
+function isUnchanged (left: Candidate | undefined, right: Candidate): boolean {
   return left !== undefined && left.failureDomain === right.failureDomain &&
     (left as { startedAt?: number }).startedAt === (right as { startedAt?: number }).startedAt
 }
--- a/src/mysql-proxy/routing/primary-work.ts
+++ b/src/mysql-proxy/routing/primary-work.ts
@@ -1,7 +1,4 @@
-/**
- * Work on the primary of a group, within the term it was chosen for. Relies on the pools for a connection and on the
- * view for the term.
- */
+/** Runs operations on the primary of a group, within the term in which it was elected. */
 import type { Kind } from '../../core/config/index.ts'
 import { RequestError } from '../../core/errors/index.ts'
 import type { Deadline } from '../../core/time/deadline.ts'
@@ -10,34 +7,34 @@
 import type { GroupView, UpstreamView } from '../upstreams/group-view.ts'
 import { isConnectionLost, isReadOnlyRefusal } from './what-is-repeated.ts'
 
-/** The primary a write goes to. */
+/** The primary that a write is sent to, with its term. */
 export interface WriteTarget {
   view: UpstreamView
   term: number
 }
 
-/** What work on a primary needs. */
-export interface PrimaryWork {
+/** Options of an operation on a primary. */
+export interface PrimaryWorkOptions {
   view: GroupView
   pools: Map<string, ConnectionPool>
   kind: Kind
   deadline: Deadline
 }
 
-/** Time after which a caller should come back after a refusal, in milliseconds. */
+/** Suggested retry delay for callers when the primary was removed, in milliseconds. */
 const RETRY_AFTER_MS = 100
 
 /**
- * Runs work on a connection to the primary.
+ * Runs an operation on a connection to the primary.
  *
- * @param options - the group, its connections, and what the work needs
+ * @param options - the group, its connection pools, and kind and deadline of the operation
  * @param target - the primary and its term
- * @param work - the work
- * @returns what the work returned
- * @throws RequestError with verdict `not-run` when the term has passed before the work began
+ * @param work - the operation
+ * @returns the result of the operation
+ * @throws RequestError with verdict `not-run` when a newer term began before the operation
  */
-export async function onPrimary<Result> (
-  { pools, kind, deadline, view }: PrimaryWork,
+export async function runOnPrimary<Result> (
+  { pools, kind, deadline, view }: PrimaryWorkOptions,
   target: WriteTarget,
   work: (client: Client) => Promise<Result>
 ): Promise<Result> {
@@ -60,7 +57,7 @@
       view.markUnreachable(name, thrown.message)
     }
     if (isReadOnlyRefusal(thrown)) {
-      // A primary that does not answer is marked by the channel's own failure; the refusal is what the caller gets.
+      // Refreshes the primary's status. A failure marks it unreachable; the caller still receives the refusal.
       await target.view.channel.fresh().catch(() => {})
     }
     throw thrown
--- a/src/mysql-proxy/routing/read-route.ts
+++ b/src/mysql-proxy/routing/read-route.ts
@@ -1,6 +1,6 @@
 /**
- * Serves reads: chooses an upstream by the rule in `where-reads-run.ts`, runs the statement there, and returns what the
- * session has now seen. Relies on the group's view for statuses and on the pools for connections.
+ * Serves reads: chooses an upstream by the rules in `where-reads-run.ts`, runs the statement there, and returns the log
+ * position that the session has reached.
  */
 import type { Group, Kind } from '../../core/config/index.ts'
 import { RequestError } from '../../core/errors/index.ts'
@@ -16,9 +16,9 @@
 import { findReadIndex, resolveFloor } from './session-floor.ts'
 import type { HomeReply } from './types.ts'
 import { isConnectionLost } from './what-is-repeated.ts'
-import { catchUpWaitMs, isFit, pickReplica, refreshIntervalMs, stickyCandidate } from './where-reads-run.ts'
+import { catchUpWaitMs, isEligible, pickReplica, refreshIntervalMs, stickyCandidate } from './where-reads-run.ts'
 
-/** What a read needs. */
+/** Options of a read. */
 export interface ReadOptions {
   view: GroupView
   pools: Map<string, ConnectionPool>
@@ -26,64 +26,66 @@
   kind: Kind
   statement: Statement
   floor: SessionFloor
-  /** Whether a majority must be asked for the floor first. */
+  /** Whether the floor must first be raised to a read index confirmed by a majority. */
   readIndex: boolean
   deadline: Deadline
-  /** Failure domain of this home; replicas there are preferred. */
+  /** Failure domain of this home; replicas in it are preferred. */
   failureDomain: string
-  /** Returns a number from 0 up to 1, for the choice between replicas. */
+  /** Returns a number in [0, 1), for the random choice between replicas. */
   random: () => number
 }
 
-/** A read whose floor is a place in the log. */
-type PlacedRead = Omit<ReadOptions, 'floor'> & { floor: LogPosition }
+/** A read whose floor has been resolved to a log position. */
+type ResolvedRead = Omit<ReadOptions, 'floor'> & { floor: LogPosition }
 
-/** The upstream chosen for a read, and why. */
+/** The upstream chosen for a read, and the reason for the choice. */
 export interface ReadChoice {
   upstream: string
   fromReplica: boolean
   reason: string
 }
 
-/** Upstreams that hold what a replica shows: itself and its primary. */
-const HOLDERS_OF_REPLICA_DATA = 2
-/** Time after which a caller should come back after a refusal, in milliseconds. */
+/** Number of upstreams certain to hold the data that a replica returns: the replica and its primary. */
+const UPSTREAMS_WITH_REPLICA_DATA = 2
+/** Suggested retry delay for callers after a refusal, in milliseconds. */
 const RETRY_AFTER_MS = 100
 
 /**
  * Serves a read.
  *
  * @param options - the read
- * @returns answer, upstream and what the session has now seen
- * @throws RequestError with verdict `not-run`; a read changes nothing
+ * @returns the answer, the upstream that served it and the session's new floor
+ * @throws RequestError with verdict `not-run`, because a read has no effect
  */
 export async function serveRead (options: ReadOptions): Promise<HomeReply> {
   const { view, deadline } = options
-  refreshAges(options)
+  refreshDataAges(options)
   const sticky = stickyReplica(options)
   if (sticky !== undefined) {
     return await readReplica(options, sticky)
   }
-  const resolved = await resolveFloor(view, options.floor, deadline)
-  const floor = options.readIndex ? laterPosition(resolved, await findReadIndex(view, deadline)) : resolved
-  const placed = { ...options, floor }
-  const choice = await chooseUpstream(placed)
-  return choice.fromReplica ? await readReplica(placed, choice.upstream) : await readPrimary(placed, choice.upstream)
+  const resolvedFloor = await resolveFloor(view, options.floor, deadline)
+  const floor = options.readIndex ? laterPosition(resolvedFloor, await findReadIndex(view, deadline)) : resolvedFloor
+  const resolvedRead = { ...options, floor }
+  const choice = await chooseUpstream(resolvedRead)
+  return choice.fromReplica
+    ? await readReplica(resolvedRead, choice.upstream)
+    : await readPrimary(resolvedRead, choice.upstream)
 }
 
 /**
- * Chooses an upstream for a read, waiting a bounded time for a replica to become fit.
+ * Chooses an upstream for a read. Waits for a limited time for a replica to become eligible.
  *
  * @param options - the read
- * @returns the choice
+ * @returns the chosen upstream and the reason
  */
-export async function chooseUpstream (options: PlacedRead): Promise<ReadChoice> {
+export async function chooseUpstream (options: ResolvedRead): Promise<ReadChoice> {
   if (options.group.duties.reads !== 'act') {
     return await choosePrimary(options, `duty reads is ${options.group.duties.reads}`)
   }
-  const fit = fitReplicas(options)
-  if (fit.length > 0) {
-    return { upstream: pickByLoad(options, fit), fromReplica: true, reason: 'a replica meets floor and age' }
+  const eligible = eligibleReplicas(options)
+  if (eligible.length > 0) {
+    return { upstream: pickReplicaByLoad(options, eligible), fromReplica: true, reason: 'a replica meets floor and age' }
   }
   const caughtUp = await waitForReplica(options)
   if (caughtUp !== undefined) {
@@ -92,29 +94,29 @@
   return await choosePrimary(options, 'no replica meets floor and age in time')
 }
 
-function fitReplicas ({ view, floor, kind }: Pick<PlacedRead, 'view' | 'floor' | 'kind'>): string[] {
+function eligibleReplicas ({ view, floor, kind }: Pick<ResolvedRead, 'view' | 'floor' | 'kind'>): string[] {
   return view.replicaNames.filter((name) => {
-    const state = { takesWork: view.takesWork(name), end: view.knownEnd(name), ageMs: view.age.ageMs(name) }
-    return isFit(state, floor, kind.maximumAgeMs)
+    const state = { isAvailable: view.takesWork(name), end: view.knownEnd(name), ageMs: view.age.ageMs(name) }
+    return isEligible(state, floor, kind.maximumAgeMs)
   })
 }
 
-/** The replica a session read from last, when it is still the same database and fit: it covers what was seen there. */
+/** Returns the replica that the session last read from if it is eligible and its database hasn't been replaced. */
 function stickyReplica ({ view, floor, kind, readIndex, group }: ReadOptions): string | undefined {
-  const seen = stickyCandidate({ floor, readIndex, dutyActs: group.duties.reads === 'act' })
-  if (seen === undefined) {
+  const last = stickyCandidate({ floor, readIndex, replicaReadsEnabled: group.duties.reads === 'act' })
+  if (last === undefined) {
     return undefined
   }
-  const sameDatabase = view.upstreams.get(seen.upstream)?.channel.latest?.status.incarnation === seen.incarnation
-  return sameDatabase && fitReplicas({ view, floor, kind }).includes(seen.upstream) ? seen.upstream : undefined
+  const sameDatabase = view.upstreams.get(last.upstream)?.channel.latest?.status.incarnation === last.incarnation
+  return sameDatabase && eligibleReplicas({ view, floor, kind }).includes(last.upstream) ? last.upstream : undefined
 }
 
-function pickByLoad ({ view, pools, failureDomain, random }: PlacedRead, fit: string[]): string {
-  const loads = fit.map((name) => {
+function pickReplicaByLoad ({ view, pools, failureDomain, random }: ResolvedRead, eligible: string[]): string {
+  const loads = eligible.map((name) => {
     const state = pools.get(name)?.state()
     return {
       name,
-      isNear: view.upstreams.get(name)?.declaration.failureDomain === failureDomain,
+      isInLocalDomain: view.upstreams.get(name)?.declaration.failureDomain === failureDomain,
       queued: state?.queued ?? 0,
       loadMs: state === undefined ? 0 : (state.running + state.queued + 1) * (state.meanMs || 1)
     }
@@ -122,73 +124,73 @@
   return pickReplica(loads, random)
 }
 
-async function waitForReplica (options: PlacedRead): Promise<string | undefined> {
+async function waitForReplica (options: ResolvedRead): Promise<string | undefined> {
   const { view, floor, kind, group, deadline } = options
-  const patience = new Deadline(catchUpWaitMs(group.limits.catchUpMs, deadline.leftMs))
+  const catchUpDeadline = new Deadline(catchUpWaitMs(group.limits.catchUpMs, deadline.leftMs))
   const candidates = view.replicaNames.filter((name) => view.takesWork(name))
   const waits = candidates.map(async (name) => {
     const { channel } = view.upstreams.get(name)!
-    const reached = await channel.waitUntil((status) => meetsFloor(logEnd(status), floor), patience)
-    const tooOld = (): boolean => view.age.ageMs(name) > kind.maximumAgeMs
-    if (reached !== undefined && tooOld()) {
+    const reachedStatus = await channel.waitUntil((status) => meetsFloor(logEnd(status), floor), catchUpDeadline)
+    const isTooOld = (): boolean => view.age.ageMs(name) > kind.maximumAgeMs
+    if (reachedStatus !== undefined && isTooOld()) {
       await view.usablePrimary?.channel.fresh()
       const target = view.knownEnd(view.leadership.primary)
-      await channel.waitUntil((status) => meetsFloor(logEnd(status), target), patience)
+      await channel.waitUntil((status) => meetsFloor(logEnd(status), target), catchUpDeadline)
     }
-    if (reached === undefined || tooOld()) {
-      throw new Error('not fit in time')
+    if (reachedStatus === undefined || isTooOld()) {
+      throw new Error('replica did not become eligible in time')
     }
     return name
   })
-  // No replica became fit in time, or none answered: the read goes to the primary.
+  // Falls back to the primary if no replica becomes eligible in time.
   return await Promise.any(waits).catch(() => undefined)
 }
 
-async function choosePrimary ({ view, deadline }: PlacedRead, reason: string): Promise<ReadChoice> {
+async function choosePrimary ({ view, deadline }: ResolvedRead, reason: string): Promise<ReadChoice> {
   const primary = await view.primary(deadline)
   return { upstream: primary.view.declaration.name, fromReplica: false, reason }
 }
 
-/** What a replica shows is on its primary too; with more than three upstreams that is no majority yet. */
-async function readReplica (options: PlacedRead, upstream: string): Promise<HomeReply> {
+/** Runs a read on a replica. In groups of more than three upstreams, also waits until a majority holds the data. */
+async function readReplica (options: ResolvedRead, upstream: string): Promise<HomeReply> {
   const { view, statement, deadline, floor } = options
-  const answer = await onUpstream(options, upstream, async (client) => {
+  const answer = await runOnUpstream(options, upstream, async (client) => {
     await useManualCommit(client, false, deadline.leftMs)
     return await client.run(statement, deadline.leftMs, 'not-run')
   })
   const { channel } = view.upstreams.get(upstream)!
   const incarnation = channel.latest?.status.incarnation ?? ''
   const reply = { answer, upstream, fromReplica: true }
-  if (view.majority <= HOLDERS_OF_REPLICA_DATA) {
+  if (view.majority <= UPSTREAMS_WITH_REPLICA_DATA) {
     return { ...reply, floor: { ...floor, seenOn: [{ upstream, incarnation }] } }
   }
   const { status } = await deadline.race(channel.fresh(), 'not-run', 'confirming a read')
-  return { ...reply, floor: await confirm(options, view.leadership.primary, logEnd(status)) }
+  return { ...reply, floor: await confirmOnMajority(options, view.leadership.primary, logEnd(status)) }
 }
 
-/** What a primary shows may be on no majority yet, and a failover would take it back. */
-async function readPrimary (options: PlacedRead, upstream: string): Promise<HomeReply> {
+/** Runs a read on the primary, and waits until a majority holds the data, so that a failover can't discard it. */
+async function readPrimary (options: ResolvedRead, upstream: string): Promise<HomeReply> {
   const { statement, deadline } = options
-  const { answer, status } = await onUpstream(options, upstream, async (client) =>
+  const { answer, status } = await runOnUpstream(options, upstream, async (client) =>
     await runAndCommit(client, statement, undefined, deadline, 'not-run'))
-  return { answer, upstream, fromReplica: false, floor: await confirm(options, upstream, logEnd(status)) }
+  return { answer, upstream, fromReplica: false, floor: await confirmOnMajority(options, upstream, logEnd(status)) }
 }
 
-async function confirm (
-  { view, deadline, floor }: PlacedRead, source: string, seen: LogPosition
+async function confirmOnMajority (
+  { view, deadline, floor }: ResolvedRead, source: string, position: LogPosition
 ): Promise<SessionFloor> {
-  if (!meetsFloor(seen, floor) || !await view.waitForMajority(seen, source, deadline)) {
+  if (!meetsFloor(position, floor) || !await view.waitForMajority(position, source, deadline)) {
     throw new RequestError('not-run', 'NoUpstream', {
       group: view.name,
       reason: 'the primary was superseded, or its replicas do not follow',
       retryAfterMs: RETRY_AFTER_MS
     })
   }
-  return { ...laterPosition(seen, floor), seenOn: [] }
+  return { ...laterPosition(position, floor), seenOn: [] }
 }
 
-async function onUpstream<Result> (
-  { view, pools, kind, deadline }: PlacedRead, upstream: string, work: (client: Client) => Promise<Result>
+async function runOnUpstream<Result> (
+  { view, pools, kind, deadline }: ResolvedRead, upstream: string, work: (client: Client) => Promise<Result>
 ): Promise<Result> {
   const pool = pools.get(upstream)
   if (pool === undefined) {
@@ -206,7 +208,7 @@
   }
 }
 
-function refreshAges ({ view, kind }: ReadOptions): void {
+function refreshDataAges ({ view, kind }: ReadOptions): void {
   if (performance.now() - view.age.newestProbeAt > refreshIntervalMs(kind.maximumAgeMs)) {
     view.refresh()
   }
--- a/src/mysql-proxy/routing/request-checks.ts
+++ b/src/mysql-proxy/routing/request-checks.ts
@@ -1,16 +1,16 @@
-/** What a group's declarations say of a request: its kind, and whether its key may still be used. */
+/** Checks requests against the declaration of their group: request kinds and request keys. */
 import { kindSchema, type Group, type Kind } from '../../core/config/index.ts'
 import { RequestError } from '../../core/errors/index.ts'
 import { keyCreatedAt, MAXIMUM_KEY_LENGTH } from '../ledger/request-key.ts'
 
-/** The kind of a statement that declares none: a write that is not repeatable. */
+/** Kind of a statement that names none: a write that isn't repeatable. */
 const DEFAULT_KIND: Kind = kindSchema.parse({ access: 'write' })
 
 /**
- * Finds the kind that a request names.
+ * Finds the declared kind of a request.
  *
- * @param group - the declarations
- * @param request - the service and the kind's name
+ * @param group - declaration of the group
+ * @param request - name of the service, and name of the kind if the request has one
  * @returns the kind
  * @throws RequestError `UnknownKind`
  */
@@ -27,13 +27,13 @@
 }
 
 /**
- * Checks the key of a request.
+ * Validates the length and age of a request key.
  *
- * @param key - the key, if there is one
- * @param group - the declarations
- * @throws RequestError `MalformedHint` or `KeyExpired`
+ * @param key - the key, if the request has one
+ * @param group - declaration of the group
+ * @throws RequestError `MalformedHint` for a wrong length, `KeyExpired` for a key older than the group's key retention
  */
-export function checkKey (key: string | undefined, group: Group): void {
+export function validateKey (key: string | undefined, group: Group): void {
   if (key === undefined) {
     return
   }
--- a/src/mysql-proxy/routing/request-counter.ts
+++ b/src/mysql-proxy/routing/request-counter.ts
@@ -1,13 +1,13 @@
 /**
- * Counts the requests that a home serves, its own callers' and those that other proxies pass on alike: how many are in
- * progress, how many were refused, and which of them refill the retry budget. Owns the number in progress.
+ * Counts the requests that a home serves, whether they come from its own callers or from other proxies: those in
+ * progress, those refused, and those that refill the retry budget.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { RetryBudget } from '../../retries/retry-budget.ts'
 import type { GroupCounts } from './group-counts.ts'
 import type { HomeReply, HomeRequest } from './types.ts'
 
-/** Whether a request that was served refills the budget: the others take no room of an upstream, or only end work. */
+/** Whether a served request refills the retry budget. Only requests that run statements or commit do. */
 const REFILLS_BUDGET: Record<HomeRequest['type'], boolean> = {
   execute: true,
   'transaction-execute': true,
@@ -25,7 +25,7 @@
   counts: Pick<GroupCounts, 'refused'>
 }
 
-/** Serves requests and counts them. */
+/** Serves and counts requests. */
 interface RequestCounter {
   /**
    * Serves a request.
@@ -39,9 +39,9 @@
 }
 
 /**
- * Creates the counter of a home; nothing is in progress.
+ * Creates the request counter of a home.
  *
- * @param options - what handles the requests, and what is counted
+ * @param options - request handler, retry budget and counters to update
  * @returns the counter
  */
 export function createRequestCounter ({ handle, budget, counts }: RequestCounterOptions): RequestCounter {
--- a/src/mysql-proxy/routing/request-handlers.ts
+++ b/src/mysql-proxy/routing/request-handlers.ts
@@ -1,14 +1,11 @@
-/**
- * The handlers of one group's requests at one home, by type of request. Relies on `home-reads.ts`, `write-route.ts` and
- * `transactions.ts` for the work; owns nothing.
- */
+/** Dispatches the requests of a group to the handlers of their types. */
 import type { Group, Kind } from '../../core/config/index.ts'
 import { Deadline } from '../../core/time/deadline.ts'
 import type { ConnectionPool } from '../upstreams/connection-pool.ts'
 import type { GroupView } from '../upstreams/group-view.ts'
 import type { GroupCounts } from './group-counts.ts'
 import type { HomeReads } from './home-reads.ts'
-import { checkKey, findKind } from './request-checks.ts'
+import { validateKey, findKind } from './request-checks.ts'
 import type { Transactions } from './transactions.ts'
 import type { ExecuteRequest, HomeReply, HomeRequest } from './types.ts'
 import { serveWrite } from './write-route.ts'
@@ -17,25 +14,25 @@
 interface RequestHandlersOptions {
   view: GroupView
   pools: Map<string, ConnectionPool>
-  /** The declarations in force. */
+  /** Returns the current declaration of the group. */
   group: () => Group
   counts: GroupCounts
   reads: HomeReads
   transactions: Transactions
-  /** Takes a retry from the budget; false when there is none. */
+  /** Takes a retry from the budget; returns false when the budget is exhausted. */
   spendRetry: () => boolean
 }
 
-/** Handlers by type of request. */
+/** Handlers by request type. */
 type RequestHandlers = {
   [Type in HomeRequest['type']]: (request: Extract<HomeRequest, { type: Type }>) => Promise<HomeReply>
 }
 
 /**
- * Creates the handlers of a group.
+ * Creates the request handlers of a group.
  *
- * @param options - the group and what serves it
- * @returns serves a request with the handler of its type
+ * @param options - the group, its view, pools, reads and transactions
+ * @returns a function that passes a request to the handler of its type
  */
 export function createRequestHandlers (options: RequestHandlersOptions): (request: HomeRequest) => Promise<HomeReply> {
   const { group, counts, reads, transactions } = options
@@ -52,7 +49,7 @@
     'transaction-execute': async (request) => await transactions.execute(
       request.transactionId, request.statement, new Deadline(request.deadlineMs)),
     commit: async (request) => {
-      checkKey(request.key, group())
+      validateKey(request.key, group())
       return await transactions.commit(request, new Deadline(request.deadlineMs))
     },
     rollback: async (request) => await transactions.rollback(request.transactionId),
@@ -70,7 +67,7 @@
   { view, pools, group, counts, spendRetry }: RequestHandlersOptions, request: ExecuteRequest, kind: Kind
 ): Promise<HomeReply> {
   const { statement, service, key, deadlineMs } = request
-  checkKey(key, group())
+  validateKey(key, group())
   counts.writes++
   const deadline = new Deadline(deadlineMs)
   const reply = await serveWrite({ view, pools, kind, statement, service, key, deadline, spendRetry })
--- a/src/mysql-proxy/routing/session-floor.ts
+++ b/src/mysql-proxy/routing/session-floor.ts
@@ -1,4 +1,4 @@
-/** Finds how far a session has seen, when that is not known yet. Relies on the upstreams' statuses; owns nothing. */
+/** Resolves session floors and read indexes to log positions, by querying the status of upstreams. */
 import type { Deadline } from '../../core/time/deadline.ts'
 import type { GroupView } from '../upstreams/group-view.ts'
 import {
@@ -8,52 +8,52 @@
 import { logEnd } from '../upstreams/status.ts'
 
 /**
- * Finds a place in the log that is at or after every write acknowledged so far. Every acknowledged write is on a
- * majority, which shares an upstream with any majority that answers; so the latest end among the majority that is
- * least far is enough.
+ * Finds a read index: a log position that covers every write acknowledged so far. An acknowledged write is on a
+ * majority, which overlaps with any majority that answers, so the highest log end of the least advanced majority covers
+ * it.
  *
- * @param view - the group
- * @param deadline - when to give up
- * @returns the place
+ * @param view - view of the group
+ * @param deadline - deadline of the read
+ * @returns the log position
  */
 export async function findReadIndex (view: GroupView, deadline: Deadline): Promise<LogPosition> {
   const answers = await view.askMajority(deadline)
-  return endsOf(answers)[view.majority - 1] ?? LOG_START
+  return sortedLogEnds(answers)[view.majority - 1] ?? LOG_START
 }
 
 /**
- * Turns what a session has seen into a place in the log. Upstreams it has read from are asked how far they are,
- * which is at or after what it saw there.
+ * Resolves the floor of a session to a log position. For upstreams that the session has read from, their current log
+ * end is used, which covers everything that the session read there.
  *
- * @param view - the group
- * @param floor - what the session has seen
- * @param deadline - when to give up
- * @returns a place that covers it
+ * @param view - view of the group
+ * @param floor - floor of the session
+ * @param deadline - deadline of the read
+ * @returns a log position that covers the floor
  */
 export async function resolveFloor (view: GroupView, floor: SessionFloor, deadline: Deadline): Promise<LogPosition> {
-  const ends = await Promise.all(floor.seenOn.map(async (seen) => await findEnd(view, seen, deadline)))
+  const ends = await Promise.all(floor.seenOn.map(async (seen) => await findLogEnd(view, seen, deadline)))
   return ends.reduce(laterPosition, laterPosition(floor, LOG_START))
 }
 
-/** When the upstream cannot be asked, the furthest of a majority covers it: its primary had all it showed. */
-async function findEnd (
+/** Returns an upstream's log end, or the highest log end of a majority when the upstream can't be queried. */
+async function findLogEnd (
   view: GroupView, { upstream, incarnation }: SeenUpstream, deadline: Deadline
 ): Promise<LogPosition> {
-  const known = view.upstreams.get(upstream)
-  if (known?.reachable === true) {
+  const upstreamView = view.upstreams.get(upstream)
+  if (upstreamView?.reachable === true) {
     try {
-      const { status } = await deadline.race(known.channel.fresh(), 'not-run', 'finding what a session has seen')
+      const { status } = await deadline.race(upstreamView.channel.fresh(), 'not-run', 'finding what a session has seen')
       if (status.incarnation === incarnation) {
         return logEnd(status)
       }
     } catch {
-      // The upstream does not answer: the majority is asked instead, which covers what the session saw there.
+      // The upstream doesn't answer: falls back to a majority, whose highest log end covers what the session read.
     }
   }
-  return endsOf(await view.askMajority(deadline)).at(-1) ?? LOG_START
+  return sortedLogEnds(await view.askMajority(deadline)).at(-1) ?? LOG_START
 }
 
-/** Ends of the logs, the least far first. */
-function endsOf (answers: ObservedStatus[]): LogPosition[] {
+/** Lists the log ends of upstreams in ascending order. */
+function sortedLogEnds (answers: ObservedStatus[]): LogPosition[] {
   return answers.map(({ status }) => logEnd(status)).sort(comparePositions)
 }
--- a/src/mysql-proxy/routing/settle.ts
+++ b/src/mysql-proxy/routing/settle.ts
@@ -1,15 +1,7 @@
 /**
- * Rule: what becomes of a write or a commit whose answer was lost?
- *
- * Inputs: the attempt (scope, key, fingerprint, number), the current primary, the record of the key in its ledger, and
- * the time left (ms).
- *
- * The key is contested on the current primary: a tombstone is entered unless a record is there. What then stands counts
- * once a majority has it.
- * - A record `done`: the attempt ran; its recorded answer is returned.
- * - A tombstone: it did not run and never will (`not-run`), since its commit would meet the tombstone.
- * - A record of another request: the key was reused (`not-run`).
- * - Any other failure is tried again until the deadline; then the outcome stays open (`may-have-run`).
+ * Settles a write or commit whose answer was lost: inserts a tombstone under its request key on the current primary,
+ * unless the key already has a record, and waits for replication. A `done` record means that the attempt ran. A
+ * tombstone means that it didn't and can't run any more, because its commit would conflict with the tombstone.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import { pause } from '../../core/time/deadline.ts'
@@ -18,37 +10,38 @@
 import { callProcedure } from '../upstreams/procedures.ts'
 import type { LogPosition } from '../../positions/position.ts'
 import { logEnd } from '../upstreams/status.ts'
-import { acknowledge } from './acknowledgement.ts'
-import { describeWrite, ledgerArguments, replayRecord } from './commit.ts'
-import { onPrimary, type PrimaryWork, type WriteTarget } from './primary-work.ts'
+import { waitForAcknowledgement } from './acknowledgement.ts'
+import { toWriteReply, ledgerArguments, answerFromRecord } from './commit.ts'
+import { runOnPrimary, type PrimaryWorkOptions, type WriteTarget } from './primary-work.ts'
 import type { HomeReply } from './types.ts'
 import { isReadOnlyRefusal } from './what-is-repeated.ts'
 
-/** Pause before another try, in milliseconds. */
-const RETRY_PAUSE_MS = 10
+/** Delay before a retry, in milliseconds. */
+const RETRY_DELAY_MS = 10
 
 /**
- * Finds out whether an attempt ran, after its answer was lost.
+ * Determines whether an attempt ran, after its answer was lost. Retries until the deadline.
  *
- * @param options - the request
- * @param attempt - its attempt
- * @returns the recorded answer when it ran
- * @throws RequestError with verdict `not-run` when it did not and never will, `may-have-run` when time ran out
+ * @param options - the group, its connection pools, and kind and deadline of the request
+ * @param attempt - the attempt
+ * @returns the recorded answer when the attempt ran
+ * @throws RequestError `TransactionLost` or `KeyReused` with verdict `not-run` when the attempt did not run,
+ * `NotAcknowledged` with verdict `may-have-run` when its outcome can't be determined
  */
-export async function settle (
-  options: PrimaryWork, attempt: KeyedAttempt
+export async function settleOutcome (
+  options: PrimaryWorkOptions, attempt: KeyedAttempt
 ): Promise<HomeReply> {
   const { view, deadline } = options
   while (!deadline.passed) {
     try {
       const target = await view.primary(deadline)
-      const record = await contest(options, target, attempt)
+      const record = await contestKey(options, target, attempt)
       const { status } = await target.view.channel.fresh()
-      await acknowledge(options, target, logEnd(status))
-      return settleByRecord(record, attempt, target, logEnd(status), view.name)
+      await waitForAcknowledgement(options, target, logEnd(status))
+      return replyFromRecord(record, attempt, target, logEnd(status), view.name)
     } catch (thrown) {
       throwIfFinal(thrown, view.name)
-      await pause(RETRY_PAUSE_MS)
+      await pause(RETRY_DELAY_MS)
     }
   }
   throw new RequestError('may-have-run', 'NotAcknowledged', {
@@ -56,7 +49,7 @@
   })
 }
 
-/** Throws what no further try at settling can change. */
+/** Rethrows a failure that a retry can't change. */
 function throwIfFinal (thrown: unknown, group: string): void {
   if (!(thrown instanceof RequestError)) {
     throw thrown
@@ -69,22 +62,22 @@
   }
 }
 
-/** Tries to enter a tombstone for an attempt, and returns the record that then stands. */
-async function contest (
-  options: PrimaryWork, target: WriteTarget, attempt: KeyedAttempt
+/** Inserts a tombstone for an attempt unless its key has a record, and returns the resulting record. */
+async function contestKey (
+  options: PrimaryWorkOptions, target: WriteTarget, attempt: KeyedAttempt
 ): Promise<LedgerRecord> {
   const { deadline } = options
-  return await onPrimary(options, target, async (client) => {
+  return await runOnPrimary(options, target, async (client) => {
     const call = callProcedure('contest', ledgerArguments(attempt))
     return parseLedgerRecord(await client.run(call, deadline.leftMs, 'not-run') as RowsAnswer)
   })
 }
 
-function settleByRecord (
-  record: LedgerRecord, attempt: KeyedAttempt, target: WriteTarget, floor: LogPosition, group: string
+function replyFromRecord (
+  record: LedgerRecord, attempt: KeyedAttempt, target: WriteTarget, position: LogPosition, group: string
 ): HomeReply {
   if (record.state === 'done') {
-    return describeWrite({ answer: replayRecord(record, attempt), place: floor, replayed: true }, target)
+    return toWriteReply({ answer: answerFromRecord(record, attempt), position, replayed: true }, target)
   }
   throw new RequestError('not-run', 'TransactionLost', {
     reason: `group ${group} lost the attempt before it committed, and it can no longer commit`
--- a/src/mysql-proxy/routing/transaction-table.ts
+++ b/src/mysql-proxy/routing/transaction-table.ts
@@ -1,67 +1,66 @@
 /**
- * The open transactions of one group at one home. Owns them and the connection that each holds: a transaction leaves
- * the table when it ends, when its connection breaks, or when it has been open for too long.
+ * The open transactions of one group at one home, each with its pinned connection. A transaction is removed when it
+ * ends, when its connection is lost, or when it exceeds the longest time that a transaction may stay open.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { PinnedConnection } from '../upstreams/pool-connections.ts'
 import type { WriteTarget } from './primary-work.ts'
 
-/** An open transaction. */
+/** An open transaction and its connection. */
 export interface OpenTransaction {
   service: string
   pinned: PinnedConnection
   target: WriteTarget
-  /** Statements that have run. */
+  /** Number of statements that have run. */
   statements: number
-  /** Whether a statement or the end is in progress. */
-  busy: boolean
+  /** Whether a statement or the commit is in progress. */
+  isStepRunning: boolean
   expiry: NodeJS.Timeout
 }
 
-/** Open transactions by id. */
+/** Open transactions by identifier. */
 export interface TransactionTable {
-  /** Number of open transactions. */
   readonly size: number
-  /** Adds a transaction; it ends by itself after the longest time that one may stay open. */
+  /** Adds a transaction, and schedules its expiry. */
   add: (id: string, transaction: Pick<OpenTransaction, 'service' | 'pinned' | 'target'>) => void
   get: (id: string) => OpenTransaction | undefined
   /**
    * Returns an open transaction.
    *
-   * @param id - its identity
-   * @throws RequestError `TransactionLost` when it is not open here
+   * @param id - identifier of the transaction
+   * @throws RequestError `TransactionLost` when it isn't open at this home
    */
-  find: (id: string) => OpenTransaction
+  findOrThrow: (id: string) => OpenTransaction
   /**
-   * Runs one step of a transaction. When the connection breaks in it, the transaction is over.
+   * Runs one step of a transaction. Removes the transaction if its connection is lost.
    *
-   * @param id - identity of the transaction
+   * @param id - identifier of the transaction
    * @param work - the step
-   * @returns what the step returned
-   * @throws RequestError `TransactionLost` when the transaction is over or another step is in progress
+   * @returns the result of the step
+   * @throws RequestError `TransactionLost` when the transaction has ended or another step is in progress
    */
-  step: <Result>(id: string, work: (transaction: OpenTransaction) => Promise<Result>) => Promise<Result>
+  runStep: <Result>(id: string, work: (transaction: OpenTransaction) => Promise<Result>) => Promise<Result>
   /**
-   * Removes a transaction and gives its connection back.
+   * Removes a transaction and releases its connection.
    *
-   * @param id - its identity
-   * @param reuse - false when the connection's state is in doubt, so that it is closed and the upstream rolls back
+   * @param id - identifier of the transaction
+   * @param reuse - whether the connection can be reused; otherwise it is closed, and the upstream rolls back
    */
   end: (id: string, reuse: boolean) => void
-  /** Rolls everything back. */
+  /** Rolls back all transactions. */
   close: () => void
 }
 
 /**
- * Creates a table without transactions.
+ * Creates an empty transaction table.
  *
- * @param greatestMs - returns the longest time that a transaction may stay open, in milliseconds
+ * @param maxOpenMs - returns the longest time that a transaction may stay open, in milliseconds
  * @returns the table
  */
-export function createTransactionTable (greatestMs: () => number): TransactionTable {
+export function createTransactionTable (maxOpenMs: () => number): TransactionTable {
   const open = new Map<string, OpenTransaction>()
 
-  const find = (id: string): OpenTransaction => {
+  const findOrThrow = (id: string): OpenTransaction => {
     const transaction = open.get(id)
     if (transaction === undefined) {
       throw transactionLost('it is not open here any more')
@@ -81,17 +80,17 @@
   return {
     get size () { return open.size },
     add: (id, { service, pinned, target }) => {
-      const expiry = setTimeout(() => end(id, false), greatestMs())
-      open.set(id, { service, pinned, target, statements: 0, busy: false, expiry })
+      const expiry = setTimeout(() => end(id, false), maxOpenMs())
+      open.set(id, { service, pinned, target, statements: 0, isStepRunning: false, expiry })
     },
     get: (id) => open.get(id),
-    find,
-    step: async (id, work) => {
-      const transaction = find(id)
-      if (transaction.busy) {
+    findOrThrow,
+    runStep: async (id, work) => {
+      const transaction = findOrThrow(id)
+      if (transaction.isStepRunning) {
         throw transactionLost('two statements came at once')
       }
-      transaction.busy = true
+      transaction.isStepRunning = true
       try {
         return await work(transaction)
       } catch (thrown) {
@@ -101,7 +100,7 @@
         }
         throw thrown
       } finally {
-        transaction.busy = false
+        transaction.isStepRunning = false
       }
     },
     end,
@@ -110,9 +109,9 @@
 }
 
 /**
- * Builds the error of a transaction that was rolled back.
+ * Creates the error of a transaction that was rolled back.
  *
- * @param reason - why
+ * @param reason - why it was rolled back
  * @returns the error, with verdict `not-run`
  */
 export function transactionLost (reason: string): RequestError {
--- a/src/mysql-proxy/routing/transactions.ts
+++ b/src/mysql-proxy/routing/transactions.ts
@@ -1,7 +1,6 @@
 /**
- * Transactions. Each holds one connection to the primary from its first statement to its end, so that no other
- * statement runs in between. When its connection, its caller's proxy or its home goes, the upstream rolls it back.
- * Relies on `transaction-table.ts` for the open ones, and on `begin-transaction.ts` and `commit-transaction.ts`.
+ * Transactions of a group. Each pins one connection to the primary from begin to end; the upstream rolls it back when
+ * that connection closes.
  */
 import type { Deadline } from '../../core/time/deadline.ts'
 import { EMPTY_ANSWER, type Statement } from '../../mysql/types.ts'
@@ -17,31 +16,31 @@
 interface TransactionsOptions {
   view: GroupView
   pools: Map<string, ConnectionPool>
-  /** Greatest time a transaction may stay open, in milliseconds. */
-  greatestMs: () => number
+  /** Returns the longest time that a transaction may stay open, in milliseconds. */
+  maxOpenMs: () => number
 }
 
-/** The transactions of one group at one home. */
+/** Transactions of one group at one home. */
 export interface Transactions {
   begin: (id: string, service: string, deadline: Deadline) => Promise<HomeReply>
   execute: (id: string, statement: Statement, deadline: Deadline) => Promise<HomeReply>
   commit: (request: CommitRequest, deadline: Deadline) => Promise<HomeReply>
-  /** Finds out whether a transaction committed whose home was lost in the middle of it. */
+  /** Determines whether a transaction committed, after its home became unreachable. */
   settle: (request: SettleRequest, deadline: Deadline) => Promise<HomeReply>
   rollback: (id: string) => Promise<HomeReply>
-  readonly open: number
-  /** Rolls everything back. */
+  readonly openCount: number
+  /** Rolls back all transactions. */
   close: () => void
 }
 
 /**
- * Creates the transactions of a group.
+ * Creates the transaction handlers of a group.
  *
- * @param options - the group and its connections
- * @returns the transactions, none open
+ * @param options - the group's view and connection pools, and the time limit of transactions
+ * @returns the transaction handlers
  */
-export function createTransactions ({ view, pools, greatestMs }: TransactionsOptions): Transactions {
-  const table = createTransactionTable(greatestMs)
+export function createTransactions ({ view, pools, maxOpenMs }: TransactionsOptions): Transactions {
+  const table = createTransactionTable(maxOpenMs)
   const group: TransactionGroup = { view, pools, table }
   return {
     begin: async (id, service, deadline) => await beginTransaction(group, { id, service }, deadline),
@@ -56,18 +55,19 @@
       }
       return { answer: EMPTY_ANSWER }
     },
-    get open () { return table.size },
+    get openCount () { return table.size },
     close: table.close
   }
 }
 
 /**
- * A transaction whose primary is gone begins again on the next one when nothing has run in it, and is lost otherwise.
+ * Runs a statement in a transaction. If the primary was superseded, the transaction begins again on the new primary,
+ * unless a statement has already run in it.
  */
 async function execute (
   group: TransactionGroup, id: string, statement: Statement, deadline: Deadline
 ): Promise<HomeReply> {
-  const { service, statements, target } = group.table.find(id)
+  const { service, statements, target } = group.table.findOrThrow(id)
   try {
     return await runStatement(group, id, statement, deadline)
   } catch (thrown) {
@@ -78,7 +78,7 @@
     if (statements > 0) {
       throw transactionLost('its primary was superseded')
     }
-    // A primary that does not answer is marked by the channel's own failure; the begin waits for the next one.
+    // Refreshes the old primary's status. A failure marks it unreachable, and the begin waits for a new primary.
     await target.view.channel.fresh().catch(() => {})
     await beginTransaction(group, { id, service }, deadline)
     return await runStatement(group, id, statement, deadline)
@@ -88,7 +88,7 @@
 async function runStatement (
   { table }: TransactionGroup, id: string, statement: Statement, deadline: Deadline
 ): Promise<HomeReply> {
-  return await table.step(id, async (transaction) => {
+  return await table.runStep(id, async (transaction) => {
     const answer = await transaction.pinned.client.run(statement, deadline.leftMs, 'not-run')
     transaction.statements++
     return { answer, upstream: transaction.target.view.declaration.name }
--- a/src/mysql-proxy/routing/types.ts
+++ b/src/mysql-proxy/routing/types.ts
@@ -1,30 +1,30 @@
-/** Requests from a caller's proxy to the home of a database group, and the replies. */
+/** Messages between a caller's proxy and a home of a database group: requests and replies. */
 import type { Answer, Statement } from '../../mysql/types.ts'
 import type { SessionFloor } from '../../positions/position.ts'
 
-/** What every request carries. */
+/** Fields of every request. */
 interface RequestBase {
   group: string
   service: string
-  /** Time left to the request, in milliseconds. */
+  /** Time left until the request's deadline, in milliseconds. */
   deadlineMs: number
 }
 
 /** A statement outside a transaction. */
 export interface ExecuteRequest extends RequestBase {
   type: 'execute'
-  /** Name of the declared kind; a write when absent. */
+  /** Name of a declared kind; without one the statement is treated as a write. */
   kind?: string
   statement: Statement
-  /** What the session has seen. */
+  /** What the session has already read or written; the answer must not be older. */
   floor: SessionFloor
-  /** Whether the session may have written through another proxy, so that a majority must be asked. */
+  /** Whether the session may have written through another proxy, so that a majority must confirm the floor. */
   readIndex: boolean
-  /** The caller's request key. */
+  /** Request key given by the caller. */
   key?: string
 }
 
-/** Opens a transaction. */
+/** Begins a transaction. */
 interface BeginRequest extends RequestBase {
   type: 'begin'
   transactionId: string
@@ -41,15 +41,15 @@
 export interface CommitRequest extends RequestBase {
   type: 'commit'
   transactionId: string
-  /** Key of the transaction. */
+  /** Request key of the transaction. */
   key: string
-  /** Digest of its statements. */
+  /** Digest of the transaction's statements. */
   fingerprint: string
-  /** Whether it may have written, so that its key must be entered in the ledger. */
+  /** Whether the transaction may have written, so that its key must be recorded in the ledger. */
   writes: boolean
 }
 
-/** Finds out whether a transaction committed, after the answer to its commit was lost. */
+/** Determines whether a transaction committed, after the answer to its commit was lost. */
 export interface SettleRequest extends RequestBase {
   type: 'settle'
   key: string
@@ -62,7 +62,7 @@
   transactionId: string
 }
 
-/** Says which upstream a request would get, and why, without running it. */
+/** Asks which upstream a request would run on and why, without running it. */
 export interface ExplainRequest extends RequestBase {
   type: 'explain'
   kind?: string
@@ -77,12 +77,12 @@
 /** A reply to a request that succeeded. */
 export interface HomeReply {
   answer: Answer
-  /** What the session has now seen; absent when nothing was read or written. */
+  /** New floor of the session; absent when nothing was read or written. */
   floor?: SessionFloor
-  /** Upstream that served it. */
+  /** Upstream that served the request. */
   upstream?: string
   /** Whether the upstream was a replica. */
   fromReplica?: boolean
-  /** Whether the answer is the recorded one of an earlier request with the same key. */
+  /** Whether the answer was recorded by an earlier request with the same key. */
   replayed?: boolean
 }
--- a/src/mysql-proxy/routing/what-is-repeated.ts
+++ b/src/mysql-proxy/routing/what-is-repeated.ts
@@ -1,23 +1,14 @@
 /**
- * Rule: which failed requests are sent again, and where?
- *
- * Inputs: the failure with its verdict (`not-run`: it had no effect and never will; `may-have-run`: unknown), the type
- * of the request, whether its kind is declared repeatable, and the time left (ms). The caller of a rule also takes a
- * retry from the budget of the group (`retries/`), which bounds retries to a part of the requests.
- *
- * - A read changes nothing: it is repeated after a lost connection.
- * - A write is repeated after a transient failure that leaves it `not-run`; one declared repeatable also after
- *   `may-have-run`. A write under a key that may have run is settled instead (`settle.ts`).
- * - The begin of a transaction is repeated while nothing has run in it.
- * - Another home is tried when this one stops or was refused a connection, and after a broken link when the request is
- *   safe to send twice: reads, and what a request key protects. What a home decided stands.
+ * Decides which failed requests are retried, and whether at the same home or at another one. Depends on the verdict
+ * (`not-run`: the request had no effect and never will; `may-have-run`: unknown), the request type and whether its kind
+ * is repeatable. Callers also check the deadline and the group's retry budget.
  */
 import { RequestError, toRequestError, type Verdict } from '../../core/errors/index.ts'
 import { isTooManyConnections } from '../../mysql/connection-lost.ts'
 import { MYSQL_ERROR } from '../../mysql/consts.ts'
 import type { HomeRequest } from './types.ts'
 
-/** Requests that may be sent again when the link to their home broke: reads, and writes under a key. */
+/** Whether a request may be resent after its link to a home broke: reads, begins and writes protected by a key. */
 const SAFE_TO_RESEND: Record<HomeRequest['type'], boolean> = {
   execute: true,
   begin: true,
@@ -28,24 +19,24 @@
   explain: true
 }
 
-/** Errors of a write that another try can succeed after. */
+/** Errors after which a retried write may succeed. */
 const TRANSIENT_WRITE_ERRORS: readonly string[] = ['ConnectionLost', 'TransactionLost', 'NotAcknowledged']
 
-/** Errors that the record of a request's key decided; no other home can say otherwise. */
+/** Errors that follow from the record of a request key, so that every home would return them. */
 const FINAL_ERRORS: readonly string[] = ['TransactionLost', 'KeyReused']
 
 /**
- * Decides whether an error is the refusal of a fenced primary; the view has yet to learn of its successor.
+ * Returns whether an upstream refused a statement because it is read-only, as a fenced primary is.
  *
  * @param error - the error
- * @returns whether it is
+ * @returns whether it did
  */
 export function isReadOnlyRefusal (error: unknown): error is RequestError {
   return error instanceof RequestError && error.entry === 'StatementFailed' && error.mysqlCode === MYSQL_ERROR.readOnly
 }
 
 /**
- * Decides whether an error is a connection to an upstream that was lost; a read is repeated after it.
+ * Returns whether an error is the loss of a connection to an upstream.
  *
  * @param error - the error
  * @returns whether it is
@@ -55,23 +46,23 @@
 }
 
 /**
- * Decides whether an error leaves open whether the request ran.
+ * Returns whether an error leaves open whether the request ran.
  *
  * @param error - the error
  * @returns whether it does
  */
-export function isDoubtful (error: unknown): boolean {
+export function hasUnknownOutcome (error: unknown): boolean {
   return error instanceof RequestError && error.verdict === 'may-have-run'
 }
 
 /**
- * Decides whether a failed write may run again.
+ * Decides whether a failed write may be retried: after a transient failure, if it did not run or is repeatable.
  *
  * @param error - the failure
- * @param repeatable - whether its kind is declared repeatable
- * @returns whether it may, within deadline and budget
+ * @param repeatable - whether the kind of the write is declared repeatable
+ * @returns whether it may, within deadline and retry budget
  */
-export function mayRepeatWrite (error: unknown, repeatable: boolean): boolean {
+export function mayRetryWrite (error: unknown, repeatable: boolean): boolean {
   if (!(error instanceof RequestError)) {
     return false
   }
@@ -81,33 +72,34 @@
 }
 
 /**
- * Decides whether the begin of a transaction may be repeated: its connection broke, as when the primary changes.
+ * Decides whether the begin of a transaction may be retried: when its connection was lost before anything ran.
  *
  * @param error - the failure
  * @returns whether it may, within the deadline
  */
-export function mayRepeatBegin (error: unknown): boolean {
+export function mayRetryBegin (error: unknown): boolean {
   return isConnectionLost(error) && error.verdict === 'not-run'
 }
 
 /**
- * Decides whether the primary of a transaction is gone; a transaction in which nothing has run can begin elsewhere.
+ * Returns whether a transaction failed because its primary was superseded or its connection was lost.
  *
- * @param error - the failure of a statement in it
- * @returns whether it is
+ * @param error - failure of a statement in the transaction
+ * @returns whether it did
  */
 export function isTransactionSuperseded (error: unknown): boolean {
   return error instanceof RequestError && (isReadOnlyRefusal(error) || error.entry === 'TransactionLost')
 }
 
 /**
- * Decides whether another home may be asked.
+ * Decides whether a request may be sent to another home: when the first one is stopping or was refused a connection by
+ * the upstream, or when the link to it broke and the request did not run or is safe to resend.
  *
- * @param error - the failure at one home
+ * @param error - failure at the first home
  * @param request - the request
  * @returns whether it may
  */
-export function mayTryElsewhere (error: unknown, request: HomeRequest): boolean {
+export function mayTryAnotherHome (error: unknown, request: HomeRequest): boolean {
   if (!(error instanceof RequestError)) {
     return false
   }
@@ -118,13 +110,13 @@
 }
 
 /**
- * Gives the failure of a later home the verdict of the whole request, after the answer of an earlier home was lost:
- * that the last home did not run it says nothing of the earlier one. Only the record of the key does.
+ * Changes the verdict of a later home's failure to `may-have-run`, because an earlier home may have run the request.
+ * Errors that follow from the record of the request key keep their verdict.
  *
- * @param error - the failure of the later home
+ * @param error - failure at the later home
  * @returns the failure to report
  */
-export function asDoubtful (error: unknown): unknown {
+export function withUnknownOutcome (error: unknown): unknown {
   const isFinal = error instanceof RequestError && FINAL_ERRORS.includes(error.entry)
   return isFinal ? error : toRequestError(error, 'may-have-run', true)
 }
--- a/src/mysql-proxy/routing/write-route.ts
+++ b/src/mysql-proxy/routing/write-route.ts
@@ -1,8 +1,7 @@
 /**
- * Writes. A write that is not declared repeatable enters its key in the ledger as it commits, in its own transaction,
- * so that it runs at most once. Its answer is held back until the change is on a majority. When an answer is lost, the
- * key is contested on the current primary, which settles whether the write ran. The rules are in `what-is-repeated.ts`,
- * `acknowledgement.ts` and `settle.ts`.
+ * Serves writes. A write that isn't repeatable is committed together with its request key, so that it runs at most
+ * once. The answer is returned once the write may be acknowledged; if the answer of the upstream is lost, the outcome
+ * is settled by the request key (`settle.ts`).
  */
 import type { Kind } from '../../core/config/index.ts'
 import { RequestError, toRequestError } from '../../core/errors/index.ts'
@@ -15,61 +14,61 @@
 import type { GroupView } from '../upstreams/group-view.ts'
 import { callProcedure } from '../upstreams/procedures.ts'
 import { logEnd, parseStatus } from '../upstreams/status.ts'
-import { acknowledge } from './acknowledgement.ts'
-import { describeWrite, replayRecord, runAndCommit, type CommittedWrite } from './commit.ts'
-import { onPrimary, type WriteTarget } from './primary-work.ts'
-import { settle } from './settle.ts'
+import { waitForAcknowledgement } from './acknowledgement.ts'
+import { toWriteReply, answerFromRecord, runAndCommit, type CommittedWrite } from './commit.ts'
+import { runOnPrimary, type WriteTarget } from './primary-work.ts'
+import { settleOutcome } from './settle.ts'
 import type { HomeReply } from './types.ts'
-import { isDoubtful, isReadOnlyRefusal, mayRepeatWrite } from './what-is-repeated.ts'
+import { hasUnknownOutcome, isReadOnlyRefusal, mayRetryWrite } from './what-is-repeated.ts'
 
-/** What a write needs. */
+/** Options of a write. */
 interface WriteOptions {
   view: GroupView
   pools: Map<string, ConnectionPool>
   kind: Kind
   statement: Statement
   service: string
-  /** The caller's key; one is made when absent. */
+  /** Request key given by the caller; generated when absent. */
   key?: string
   deadline: Deadline
-  /** Takes a retry from the budget. */
+  /** Takes a retry from the budget; returns false when the budget is exhausted. */
   spendRetry: () => boolean
 }
 
-/** Time after which a caller should come back while a group changes its primary, in milliseconds. */
+/** Suggested retry delay for callers while the primary of a group changes, in milliseconds. */
 const SUPERSEDED_RETRY_MS = 250
-/** Pause before another try, in milliseconds. */
-const RETRY_PAUSE_MS = 10
+/** Delay before a retry, in milliseconds. */
+const RETRY_DELAY_MS = 10
 
 /**
  * Serves a write.
  *
  * @param options - the write
- * @returns answer and the place in the log the session has now seen
- * @throws RequestError whose verdict says whether the write may have run
+ * @returns the answer and the session's new floor
+ * @throws RequestError whose verdict states whether the write may have run
  */
 export async function serveWrite (options: WriteOptions): Promise<HomeReply> {
   return options.kind.repeatable && options.key === undefined
-    ? await servePlainWrite(options)
+    ? await serveUnkeyedWrite(options)
     : await serveKeyedWrite(options)
 }
 
-/** An idempotent write: after any loss it is simply run again, within deadline and budget. */
-async function servePlainWrite (options: WriteOptions): Promise<HomeReply> {
+/** Runs a repeatable write without a request key, and runs it again after any transient failure. */
+async function serveUnkeyedWrite (options: WriteOptions): Promise<HomeReply> {
   const { view, deadline } = options
-  let doubtful = false
+  let mayHaveRun = false
   for (;;) {
     try {
       const target = await view.primary(deadline)
-      const committed = await runPlainWrite(options, target)
-      await acknowledge(options, target, committed.place)
-      return describeWrite(committed, target)
+      const committed = await runUnkeyedWrite(options, target)
+      await waitForAcknowledgement(options, target, committed.position)
+      return toWriteReply(committed, target)
     } catch (thrown) {
-      if (!mayTryAgain(thrown, options)) {
-        throw doubtful ? toRequestError(thrown, 'may-have-run', true) : thrown
+      if (!mayRetry(thrown, options)) {
+        throw mayHaveRun ? toRequestError(thrown, 'may-have-run', true) : thrown
       }
-      doubtful ||= isDoubtful(thrown)
-      await pause(RETRY_PAUSE_MS)
+      mayHaveRun ||= hasUnknownOutcome(thrown)
+      await pause(RETRY_DELAY_MS)
     }
   }
 }
@@ -85,10 +84,10 @@
     try {
       return await attemptKeyedWrite(options, attempt)
     } catch (thrown) {
-      if (!(thrown instanceof RequestError) || thrown.verdict !== 'not-run' || !mayTryAgain(thrown, options)) {
-        throw isReadOnlyRefusal(thrown) ? superseded(options.view.name) : thrown
+      if (!(thrown instanceof RequestError) || thrown.verdict !== 'not-run' || !mayRetry(thrown, options)) {
+        throw isReadOnlyRefusal(thrown) ? supersededError(options.view.name) : thrown
       }
-      await pause(RETRY_PAUSE_MS)
+      await pause(RETRY_DELAY_MS)
     }
   }
 }
@@ -97,27 +96,27 @@
   const target = await options.view.primary(options.deadline)
   try {
     const committed = await runKeyedWrite(options, target, attempt)
-    await acknowledge(options, target, committed.place)
-    return describeWrite(committed, target)
+    await waitForAcknowledgement(options, target, committed.position)
+    return toWriteReply(committed, target)
   } catch (thrown) {
-    if (isDoubtful(thrown)) {
-      return await settle(options, attempt)
+    if (hasUnknownOutcome(thrown)) {
+      return await settleOutcome(options, attempt)
     }
     throw thrown
   }
 }
 
-async function runPlainWrite (options: WriteOptions, target: WriteTarget): Promise<CommittedWrite> {
+async function runUnkeyedWrite (options: WriteOptions, target: WriteTarget): Promise<CommittedWrite> {
   const { deadline, statement } = options
-  const { answer, status } = await onPrimary(options, target, async (client) =>
+  const { answer, status } = await runOnPrimary(options, target, async (client) =>
     await runAndCommit(client, statement, undefined, deadline, 'may-have-run'))
-  return { answer, place: logEnd(status), replayed: false }
+  return { answer, position: logEnd(status), replayed: false }
 }
 
 async function runKeyedWrite (
   options: WriteOptions, target: WriteTarget, attempt: KeyedAttempt
 ): Promise<CommittedWrite> {
-  return await onPrimary(options, target, async (client) => {
+  return await runOnPrimary(options, target, async (client) => {
     try {
       return await runAttempt(options, client, attempt)
     } catch (thrown) {
@@ -134,17 +133,20 @@
   const { deadline, statement } = options
   const { answer, record, status } = await runAndCommit(client, statement, attempt, deadline, 'may-have-run')
   if (record.outcome !== 'exists') {
-    return { answer, place: logEnd(status), replayed: false }
+    return { answer, position: logEnd(status), replayed: false }
   }
-  const givenUpEarlier = record.state === 'tombstone' && record.fingerprint === attempt.fingerprint
-  if (givenUpEarlier) {
+  const wasGivenUp = record.state === 'tombstone' && record.fingerprint === attempt.fingerprint
+  if (wasGivenUp) {
     attempt.attempt = record.attempt + 1
     return await runAttempt(options, client, attempt)
   }
-  return { answer: replayRecord(record, attempt), place: logEnd(status), replayed: true }
+  return { answer: answerFromRecord(record, attempt), position: logEnd(status), replayed: true }
 }
 
-/** A repetition may fail where the first run succeeded, by a unique key for one; then the record is the answer. */
+/**
+ * Looks for a record of an earlier attempt after a statement failed. A repeated write can fail because the first one
+ * succeeded, for example with a duplicate key error.
+ */
 async function findReplay (
   { deadline }: WriteOptions, client: Client, attempt: KeyedAttempt, thrown: unknown
 ): Promise<CommittedWrite | undefined> {
@@ -160,17 +162,17 @@
   if (record.outcome !== 'exists' || record.state !== 'done') {
     return undefined
   }
-  return { answer: replayRecord(record, attempt), place: logEnd(parseStatus(found)), replayed: true }
+  return { answer: answerFromRecord(record, attempt), position: logEnd(parseStatus(found)), replayed: true }
 }
 
-/** Error of a write when no successor of a fenced primary was found in time. */
-function superseded (group: string): RequestError {
+/** Creates the error of a write when no new primary was found in time. */
+function supersededError (group: string): RequestError {
   return new RequestError('not-run', 'NoUpstream', {
     group, reason: 'its primary was superseded and no other is known yet', retryAfterMs: SUPERSEDED_RETRY_MS
   })
 }
 
-/** Whether the failure allows another try, and time and budget do. */
-function mayTryAgain (thrown: unknown, { deadline, spendRetry, kind }: WriteOptions): boolean {
-  return !deadline.passed && mayRepeatWrite(thrown, kind.repeatable) && spendRetry()
+/** Whether the failure, the deadline and the retry budget allow a retry. */
+function mayRetry (thrown: unknown, { deadline, spendRetry, kind }: WriteOptions): boolean {
+  return !deadline.passed && mayRetryWrite(thrown, kind.repeatable) && spendRetry()
 }
--- a/test/mysql-proxy/routing/home-requests.test.ts
+++ b/test/mysql-proxy/routing/home-requests.test.ts
@@ -25,7 +25,7 @@
   key: 'k'
 }
 
-/** Creates a sender whose homes answer in turn as told. */
+/** Creates a sender with one home per answer; the homes give the answers in order. */
 function createSender (answers: Array<RequestError | HomeReply>) {
   const members = answers.map((_answer, index) => createMember(`home-${index + 1}`))
   const membership = {
@@ -41,29 +41,29 @@
     }
   } as unknown as Peers
   return createHomeRequests({
-    membership, peers, homesOf: () => [...members], serveHere: async () => ({ answer: EMPTY_ANSWER })
+    membership, peers, homesOf: () => [...members], serveLocally: async () => ({ answer: EMPTY_ANSWER })
   })
 }
 
 describe('createHomeRequests', () => {
-  it('does not call a request not run that an earlier home may have run', async () => {
+  it('reports may-have-run when an earlier home may have run the request', async () => {
     const sender = createSender([LINK_BROKE, OVERLOADED])
     const refusal = await sender.send(REQUEST).catch((thrown: unknown) => thrown as RequestError)
     expect((refusal as RequestError).verdict).toEqual('may-have-run')
     expect((refusal as RequestError).entry).toEqual('Overloaded')
   })
 
-  it('keeps the verdict of a home that was the first to get the request', async () => {
+  it('keeps the verdict of the home when no other home received the request before', async () => {
     const refusal = await createSender([OVERLOADED]).send(REQUEST).catch((thrown: unknown) => thrown as RequestError)
     expect((refusal as RequestError).verdict).toEqual('not-run')
   })
 
-  it('sends a keyed request to another home when the link broke, and takes its answer', async () => {
+  it('resends a keyed request to the next home when the link broke, and returns its reply', async () => {
     const served = await createSender([LINK_BROKE, { answer: EMPTY_ANSWER, replayed: true }]).send(REQUEST)
     expect(served.home).toEqual('home-2')
   })
 
-  it('does not send a statement of a transaction anywhere else', async () => {
+  it('does not resend a statement of a transaction to another home', async () => {
     const sender = createSender([LINK_BROKE, { answer: EMPTY_ANSWER }])
     const statement: HomeRequest = {
       type: 'transaction-execute', group: 'g', service: 's', deadlineMs: 1000, transactionId: 't', statement: { sql: '' }
--- a/test/mysql-proxy/routing/request-counter.test.ts
+++ b/test/mysql-proxy/routing/request-counter.test.ts
@@ -1,7 +1,4 @@
-/**
- * A home counted each request for its retry budget before it knew the outcome, so that refusals refilled the budget as
- * much as answers did. At ten times what a home can serve, retries came to twice what it served.
- */
+/** Guards against refused requests that refill the retry budget, so that retries grow with an overload. */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { RequestError } from '../../../src/core/errors/index.ts'
@@ -16,10 +13,10 @@
 import { NOTHING_SEEN } from '../../../src/positions/position.ts'
 import { createRetryBudget } from '../../../src/retries/retry-budget.ts'
 
-/** Retries of a budget that nothing has used yet. */
-const GREATEST_BALANCE = 100
-/** Requests that are sent, and each how many of them is served. */
-const OFFERED = 5000
+/** Balance of a new retry budget, in retries. */
+const INITIAL_BALANCE = 100
+/** Number of requests sent, of which one in `SERVED_ONE_IN` is served. */
+const SENT_REQUESTS = 5000
 const SERVED_ONE_IN = 10
 
 const READ: HomeRequest = {
@@ -27,61 +24,61 @@
 }
 const OVERLOADED = new RequestError('not-run', 'Overloaded', { group: 'g', reason: 'full', retryAfterMs: 5 })
 
-const memberOf = (host: string): Member => ({
+const createMember = (host: string): Member => ({
   host, role: 'proxy', failureDomain: host, address: '127.0.0.1', port: 1, startedAt: 1, version: 1, state: 'live'
 })
 
-/** A home that serves one request in ten, and asks its budget for a retry of each other one. */
+/** Creates a home that serves one request in ten and takes a retry from its budget for every other request. */
 function createOverloadedHome () {
   const budget = createRetryBudget()
   const counts = createGroupCounts()
-  const seen = { requests: 0, retries: 0 }
+  const observed = { requests: 0, retries: 0 }
   const counter = createRequestCounter({
     budget,
     counts,
     handle: async (): Promise<HomeReply> => {
-      seen.requests++
-      if (seen.requests % SERVED_ONE_IN === 0) {
+      observed.requests++
+      if (observed.requests % SERVED_ONE_IN === 0) {
         return { answer: EMPTY_ANSWER }
       }
-      seen.retries += budget.spend() ? 1 : 0
+      observed.retries += budget.spend() ? 1 : 0
       throw OVERLOADED
     }
   })
-  return { counter, counts, seen, budget }
+  return { counter, counts, observed, budget }
 }
 
-/** Sends requests from a proxy that is the home itself, or that passes them on to it. */
-function senderTo (serve: (request: HomeRequest) => Promise<HomeReply>, isHome: boolean) {
-  const home = memberOf('home')
+/** Creates a sender in the home's own process, or in another proxy that forwards requests to the home. */
+function createSender (serve: (request: HomeRequest) => Promise<HomeReply>, isHome: boolean) {
+  const home = createMember('home')
   const membership = {
-    self: isHome ? home : memberOf('entry'), answers: () => true, reportFailure: () => {}, known: () => [home]
+    self: isHome ? home : createMember('entry'), answers: () => true, reportFailure: () => {}, known: () => [home]
   } as unknown as Membership
   const peers = {
     request: async (_member: Member, _type: string, body: unknown) => await serve(body as HomeRequest)
   } as unknown as Peers
-  return createHomeRequests({ membership, peers, homesOf: () => [home], serveHere: serve })
+  return createHomeRequests({ membership, peers, homesOf: () => [home], serveLocally: serve })
 }
 
-describe('the requests that a home counts', () => {
-  for (const [whose, isHome] of [['its own callers', true], ['other proxies', false]] as const) {
-    it(`bound the retries by a fifth of what is served, for requests of ${whose}`, async () => {
-      const { counter, counts, seen } = createOverloadedHome()
-      const sender = senderTo(counter.serve, isHome)
-      for (let request = 0; request < OFFERED; request++) {
+describe('createRequestCounter', () => {
+  for (const [source, isHome] of [['its own callers', true], ['other proxies', false]] as const) {
+    it(`limits retries to a fifth of the served requests, for requests from ${source}`, async () => {
+      const { counter, counts, observed } = createOverloadedHome()
+      const sender = createSender(counter.serve, isHome)
+      for (let request = 0; request < SENT_REQUESTS; request++) {
         await sender.send(READ).catch(() => {})
       }
-      const served = OFFERED / SERVED_ONE_IN
-      expect(counts.refused).toEqual(OFFERED - served)
-      expect(seen.retries <= GREATEST_BALANCE + served / 5).toEqual(true)
+      const served = SENT_REQUESTS / SERVED_ONE_IN
+      expect(counts.refused).toEqual(SENT_REQUESTS - served)
+      expect(observed.retries <= INITIAL_BALANCE + served / 5).toEqual(true)
       expect(counter.inProgress).toEqual(0)
     })
   }
 
-  it('refill the budget when they are served, so that a home which has used it up sends retries again', async () => {
+  it('refills an exhausted budget with served requests', async () => {
     const budget = createRetryBudget()
     while (budget.spend()) {
-      // Uses up what there was.
+      // Exhausts the budget.
     }
     const counter = createRequestCounter({
       budget, counts: createGroupCounts(), handle: async () => ({ answer: EMPTY_ANSWER })
@@ -92,10 +89,10 @@
     expect(budget.balance).toEqual(10)
   })
 
-  it('refill nothing when they ask no upstream for work', async () => {
+  it('does not refill the budget with rollbacks', async () => {
     const budget = createRetryBudget()
     while (budget.spend()) {
-      // Uses up what there was.
+      // Exhausts the budget.
     }
     const counter = createRequestCounter({
       budget, counts: createGroupCounts(), handle: async () => ({ answer: EMPTY_ANSWER })
