--- a/src/mysql-proxy/ledger/ledger-sweeper.ts
+++ b/src/mysql-proxy/ledger/ledger-sweeper.ts
@@ -1,4 +1,4 @@
-/** Deletes request keys that are older than they must be remembered, a few at a time. */
+/** Periodically deletes expired request keys from the ledger, in small batches. */
 import type { Group } from '../../core/config/index.ts'
 import { Deadline } from '../../core/time/deadline.ts'
 import { EMPTY_ANSWER } from '../../mysql/types.ts'
@@ -14,22 +14,20 @@
   group: () => Group
 }
 
-/** Time between two sweeps, in milliseconds. */
+/** Interval of sweeps, in milliseconds. */
 export const SWEEP_INTERVAL_MS = 60_000
-/** Keys deleted with one statement, so that no sweep holds locks for long. */
-const SWEEP_KEYS = 500
+/** Most keys deleted by one statement, so that it doesn't hold locks for long. */
+const SWEEP_BATCH_SIZE = 500
 const SWEEP_DEADLINE_MS = 2000
 const LOWEST_PRIORITY = 0
-/**
- * Keys stay a while longer than they are accepted, so that a request is never run again because clocks differ.
- */
-const GRACE_MS = 3_600_000
+/** Time that keys are kept after they are no longer accepted, in milliseconds; tolerates clock skew between hosts. */
+const CLOCK_SKEW_GRACE_MS = 3_600_000
 
 /**
- * Starts sweeping.
+ * Starts the periodic sweeps of a group's ledger.
  *
- * @param options - the group and its connections
- * @returns how to sweep now, and how to stop
+ * @param options - the group's view, connection pools and declaration
+ * @returns `sweep` deletes one batch and returns the number of deleted keys; `close` stops the sweeps
  */
 export function startLedgerSweeper (
   { view, pools, group }: LedgerSweeperOptions
@@ -40,22 +38,22 @@
       return 0
     }
     const deadline = new Deadline(SWEEP_DEADLINE_MS)
-    const before = Date.now() - group().keyRetentionMs - GRACE_MS
+    const createdBefore = Date.now() - group().keyRetentionMs - CLOCK_SKEW_GRACE_MS
     const request = { access: 'write', priority: LOWEST_PRIORITY, deadline } as const
     const answer = await pool.run(request, async (client) => {
       await useManualCommit(client, false, deadline.leftMs)
-      return await client.run(callProcedure('sweep', [before, SWEEP_KEYS]), deadline.leftMs, 'may-have-run')
+      return await client.run(callProcedure('sweep', [createdBefore, SWEEP_BATCH_SIZE]), deadline.leftMs, 'may-have-run')
     })
-      // The next sweep takes what this one left; the pool has recorded the failure of its upstream.
+      // The next sweep retries; the pool has already recorded the failure of the upstream.
       .catch(() => EMPTY_ANSWER)
     return answer.type === 'done' ? answer.affectedRows : 0
   }
-  const sweepAll = async (): Promise<void> => {
-    while (await sweep() === SWEEP_KEYS) {
-      // A full batch says that there is more.
+  const sweepAllBatches = async (): Promise<void> => {
+    while (await sweep() === SWEEP_BATCH_SIZE) {
+      // A full batch means that more keys may have expired.
     }
   }
-  const timer = setInterval(() => { void sweepAll() }, SWEEP_INTERVAL_MS)
+  const timer = setInterval(() => { void sweepAllBatches() }, SWEEP_INTERVAL_MS)
   timer.unref()
   return { sweep, close: () => clearInterval(timer) }
 }
--- a/src/mysql-proxy/ledger/request-key.ts
+++ b/src/mysql-proxy/ledger/request-key.ts
@@ -1,23 +1,23 @@
-/** Request keys, fingerprints and attempts: what makes a request run at most once. */
+/** Request keys, fingerprints and ledger records, which ensure that a request runs at most once. */
 import { createHash, randomBytes } from 'node:crypto'
 import * as z from 'zod'
 import { readNamedRows } from '../../mysql/named-rows.ts'
 import type { RowsAnswer, Statement, StatementValue } from '../../mysql/types.ts'
 
-/** A key and one attempt under it. */
+/** An attempt to run a request under its key. */
 export interface KeyedAttempt {
-  /** Keys of different services never meet. */
+  /** Name of the service; keys of different services are independent. */
   scope: string
   key: string
-  /** Digest of the request; the same key with another fingerprint is an error. */
+  /** Digest of the request; reusing a key with another fingerprint is an error. */
   fingerprint: string
-  /** Counts attempts; a later attempt may take over a tombstone, an earlier one never. */
+  /** Number of the attempt; only a later attempt may replace a tombstone. */
   attempt: number
 }
 
 /** A row of the ledger. */
 const ledgerRecordSchema = z.object({
-  /** `entered` when the attempt committed now, `exists` when a record stood before, `absent` when there is none. */
+  /** `entered`: this attempt inserted the record; `exists`: the key already had a record; `absent`: it has none. */
   outcome: z.enum(['entered', 'exists', 'absent']),
   state: z.enum(['', 'done', 'tombstone']),
   fingerprint: z.string(),
@@ -26,15 +26,15 @@
   insertId: z.coerce.number()
 })
 
-/** What the ledger says of a key. */
+/** Result of a ledger procedure for a key. */
 export type LedgerRecord = z.infer<typeof ledgerRecordSchema>
 
-/** Longest key a caller may give, in characters. */
+/** Longest accepted request key, in characters. */
 export const MAXIMUM_KEY_LENGTH = 200
 const UUID_V7 = /^([0-9a-f]{8})-([0-9a-f]{4})-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$/i
 
 /**
- * Creates a key that carries its time (UUID version 7).
+ * Creates a request key that contains its creation time (UUID version 7).
  *
  * @returns the key
  */
@@ -48,10 +48,10 @@
 }
 
 /**
- * Returns when a key was made.
+ * Returns the creation time of a key.
  *
  * @param key - the key
- * @returns milliseconds of the epoch, or undefined when the key does not say
+ * @returns milliseconds since the epoch, or undefined when the key is no UUID version 7
  */
 export function keyCreatedAt (key: string): number | undefined {
   const match = UUID_V7.exec(key)
@@ -59,40 +59,41 @@
 }
 
 /**
- * Digests statements, so that the same key with another request is noticed.
+ * Computes the fingerprint of statements, which detects a key that is reused for another request.
  *
  * @param statements - the statements in order
- * @returns the digest
+ * @returns the fingerprint, as 32 hexadecimal digits
  */
 export function fingerprintOf (statements: Statement[]): string {
   const hash = createHash('sha256')
   for (const { sql, values = [] } of statements) {
-    addPart(hash, 'sql', stripComments(sql))
-    values.forEach((value) => addPart(hash, typeOf(value), String(value)))
+    updateWithPart(hash, 'sql', stripComments(sql))
+    values.forEach((value) => updateWithPart(hash, typeTagOf(value), String(value)))
   }
   return hash.digest('hex').slice(0, 32)
 }
 
 /**
- * Reads the answer of a ledger procedure.
+ * Parses the answer of a ledger procedure.
  *
  * @param answer - the answer
  * @returns the record
+ * @throws ZodError when the answer has another form
  */
 export function parseLedgerRecord (answer: RowsAnswer): LedgerRecord {
   return ledgerRecordSchema.parse(readNamedRows(answer)[0])
 }
 
-/** Each part carries its length, so that no two sequences of parts have the same bytes. */
-function addPart (hash: ReturnType<typeof createHash>, type: string, text: string): void {
+/** Adds a part to a digest, prefixed with its length so that different sequences of parts never have the same bytes. */
+function updateWithPart (hash: ReturnType<typeof createHash>, type: string, text: string): void {
   hash.update(`${type}:${Buffer.byteLength(text)}:`).update(text)
 }
 
-function typeOf (value: StatementValue): string {
+function typeTagOf (value: StatementValue): string {
   return value === null ? 'null' : Buffer.isBuffer(value) ? 'bytes' : typeof value
 }
 
-/** The hint differs between repetitions of one request, so comments at the ends do not count. */
+/** Removes comments at both ends of a statement, since hints there differ between attempts of the same request. */
 function stripComments (sql: string): string {
   return sql.replace(/^(?:\s|\/\*[\s\S]*?\*\/)+|(?:\s|\/\*[^*]*(?:\*(?!\/)[^*]*)*\*\/)+$/g, '')
 }
