--- a/src/mysql-proxy/sessions/session-token.ts
+++ b/src/mysql-proxy/sessions/session-token.ts
@@ -1,6 +1,6 @@
 /**
- * Session tokens: what a session has seen, in a form that a caller can carry to any proxy. A token is authenticated, so
- * that a caller cannot make one up, and it needs no state on any proxy.
+ * Session tokens, by which callers carry the floors of a session from one proxy to another. A token is authenticated
+ * with a secret shared by all proxies, so that callers can't forge it. Proxies store nothing for it.
  */
 import { createHmac, hkdfSync, timingSafeEqual } from 'node:crypto'
 import { Decoder, Encoder } from 'cbor-x'
@@ -8,85 +8,85 @@
 import { RequestError } from '../../core/errors/index.ts'
 import { sessionFloorSchema } from '../../positions/position.ts'
 
-const PREFIX = 'ws1.'
+const TOKEN_PREFIX = 'ws1.'
 const KEY_BYTES = 32
 const TAG_BYTES = 16
-/** Longest token that is looked at, in characters. */
+/** Longest accepted token, in characters. */
 const MAXIMUM_TOKEN_LENGTH = 8192
 
 const encoder = new Encoder({ useRecords: false })
 const decoder = new Decoder({ useRecords: false, mapsAsObjects: true })
 
 const contentSchema = z.object({
-  /** Identity of the session. */
+  /** Identifier of the session. */
   id: z.string(),
-  /** Service the session belongs to; another one may not use it. */
+  /** Service that the session belongs to; the token is refused to other services. */
   service: z.string(),
-  /** What the session has seen, by group. */
+  /** Floor of the session by group: what the session has already read or written there. */
   floors: z.record(z.string(), sessionFloorSchema)
 })
 
-/** What a token says. */
+/** Content of a session token. */
 export type SessionTokenContent = z.infer<typeof contentSchema>
 
-/** Makes and checks tokens. */
+/** Creates and verifies session tokens. */
 export interface SessionTokens {
-  /** Makes a token. */
+  /** Encodes and authenticates a token. */
   seal: (content: SessionTokenContent) => string
   /**
-   * Checks a token.
+   * Verifies and decodes a token.
    *
    * @param token - the token
-   * @param service - the service that presents it
-   * @returns what it says
+   * @param service - the service that presents the token
+   * @returns the content of the token
    * @throws RequestError `InvalidToken` with verdict `not-run`
    */
   open: (token: string, service: string) => SessionTokenContent
 }
 
 /**
- * Says whether a session handle is a token rather than a bare id.
+ * Returns whether a session handle is a token rather than a plain identifier.
  *
- * @param handle - the handle
- * @returns whether it is
+ * @param handle - the session handle
+ * @returns whether it is a token
  */
 export function isSessionToken (handle: string): boolean {
-  return handle.startsWith(PREFIX)
+  return handle.startsWith(TOKEN_PREFIX)
 }
 
 /**
- * Creates the maker of tokens.
+ * Creates the functions that create and verify tokens.
  *
- * @param secret - a secret all proxies share
- * @returns the maker
+ * @param secret - secret shared by all proxies
+ * @returns the functions
  */
 export function createSessionTokens (secret: string): SessionTokens {
   const key = Buffer.from(hkdfSync('sha256', secret, '', 'worksward session token', KEY_BYTES))
-  const tagOf = (body: Buffer): Buffer => createHmac('sha256', key).update(body).digest().subarray(0, TAG_BYTES)
+  const computeTag = (body: Buffer): Buffer => createHmac('sha256', key).update(body).digest().subarray(0, TAG_BYTES)
   return {
     seal: (content) => {
       const body = encoder.encode(content)
-      return PREFIX + Buffer.concat([tagOf(body), body]).toString('base64url')
+      return TOKEN_PREFIX + Buffer.concat([computeTag(body), body]).toString('base64url')
     },
     open: (token, service) => {
       if (token.length > MAXIMUM_TOKEN_LENGTH) {
-        throw refuse('it is too long')
+        throw invalidToken('it is too long')
       }
-      const bytes = Buffer.from(token.slice(PREFIX.length), 'base64url')
+      const bytes = Buffer.from(token.slice(TOKEN_PREFIX.length), 'base64url')
       const body = bytes.subarray(TAG_BYTES)
       const tag = bytes.subarray(0, TAG_BYTES)
-      if (tag.length !== TAG_BYTES || !timingSafeEqual(tag, tagOf(body))) {
-        throw refuse('it was not made here or has been changed')
+      if (tag.length !== TAG_BYTES || !timingSafeEqual(tag, computeTag(body))) {
+        throw invalidToken('it was not made here or has been changed')
       }
       const content = contentSchema.parse(decoder.decode(body))
       if (content.service !== service) {
-        throw refuse('it belongs to another service')
+        throw invalidToken('it belongs to another service')
       }
       return content
     }
   }
 }
 
-function refuse (reason: string): RequestError {
+function invalidToken (reason: string): RequestError {
   return new RequestError('not-run', 'InvalidToken', { reason })
 }
