--- a/src/entry/freshness/index.ts
+++ b/src/entry/freshness/index.ts
@@ -4,12 +4,12 @@
 import { createProofExchange, type ProofExchange } from './proof-exchange.ts'
 
 /** Service of the plug-in. */
-export interface FreshnessOfGroups extends ProofExchange {
+export interface FreshnessService extends ProofExchange {
   of: (group: string) => GroupFreshness
 }
 
 declare module '../../core/kernel/index.ts' {
-  interface Services { freshness: FreshnessOfGroups }
+  interface Services { freshness: FreshnessService }
 }
 
 registerPlugin({
@@ -22,9 +22,9 @@
       groups.set(name, known)
       return known
     }
-    const { fetch, useProver } = createProofExchange({ registry: use('registry'), peers: use('peers'), logger, of })
+    const { fetch, setProver } = createProofExchange({ registry: use('registry'), peers: use('peers'), logger, of })
     return {
-      service: { of, fetch, useProver },
+      service: { of, fetch, setProver },
       dump: () => Object.fromEntries([...groups].map(([name, group]) => [name, group.newest]))
     }
   }
--- a/src/entry/freshness/proof-exchange.ts
+++ b/src/entry/freshness/proof-exchange.ts
@@ -30,7 +30,7 @@
   of: (group: string) => GroupFreshness
 }
 
-/** Makes a proof here, when this host can; see {@link ProofExchange.useProver}. */
+/** Makes a proof here, when this host can; see {@link ProofExchange.setProver}. */
 type Prover = (group: string) => Promise<void>
 
 /** Gets proofs from peers. */
@@ -46,7 +46,7 @@
    */
   fetch: (group: string, since: number, homes: KnownHost[]) => Promise<boolean>
   /** Sets what makes proofs here when none is known that suffices. */
-  useProver: (prover: Prover) => void
+  setProver: (prover: Prover) => void
 }
 
 /**
@@ -117,7 +117,7 @@
     }
   }
   return {
-    useProver: (prover) => { prove = prover },
+    setProver: (prover) => { prove = prover },
     fetch: async (group, since, homes) => {
       if (performance.now() >= (pausedUntil.get(group) ?? -Infinity)) {
         const question = questions.get(group) ?? askSome(group, since, homes).finally(() => questions.delete(group))
--- a/src/entry/leadership/index.ts
+++ b/src/entry/leadership/index.ts
@@ -19,8 +19,8 @@
 export type { PrimaryLease } from './types.ts'
 
 /** Service of the plug-in. */
-export interface Leadership extends Pick<PrimaryLeases, 'of' | 'wait' | 'waitForPrimary'>,
-  Pick<RecoveryEstimates, 'lost' | 'reached' | 'expectedMs'> {
+export interface Leadership extends Pick<PrimaryLeases, 'leaseOf' | 'waitForLease' | 'waitForPrimary'>,
+  Pick<RecoveryEstimates, 'recordLoss' | 'recordReachable' | 'expectedRecoveryMs'> {
   /** The primary as far as known, whether or not this host may work there. */
   primaryOf: (group: string) => string | undefined
   /** Reports that an upstream has been silent for long; it is probed. */
@@ -70,7 +70,7 @@
       const { row } = registry.current.group(group)
       const primary = row?.state === 'open' ? directory.get(row.primary) : undefined
       if (primary !== undefined && pools.of(primary).health.unreachableSince === undefined) {
-        recoveryEstimates.reached(group)
+        recoveryEstimates.recordReachable(group)
       }
     }
     const stopWatching = repeat(WATCH_MS, async () => {
@@ -87,12 +87,12 @@
 
     return {
       service: {
-        of: primaryLeases.of,
-        wait: primaryLeases.wait,
+        leaseOf: primaryLeases.leaseOf,
+        waitForLease: primaryLeases.waitForLease,
         waitForPrimary: primaryLeases.waitForPrimary,
-        lost: recoveryEstimates.lost,
-        reached: recoveryEstimates.reached,
-        expectedMs: recoveryEstimates.expectedMs,
+        recordLoss: recoveryEstimates.recordLoss,
+        recordReachable: recoveryEstimates.recordReachable,
+        expectedRecoveryMs: recoveryEstimates.expectedRecoveryMs,
         primaryOf: (group) => registry.current.group(group).row?.primary,
         suspect: createSuspicion(directory, pools)
       },
@@ -117,7 +117,7 @@
   return (group) => {
     const { row } = registry.current.group(group)
     if (row?.state === 'closed') {
-      estimates.lost(group)
+      estimates.recordLoss(group)
     } else if (row !== undefined && row.epoch !== epochs.get(group)) {
       epochs.set(group, row.epoch)
       estimates.back(group)
--- a/src/entry/leadership/primary-leases.ts
+++ b/src/entry/leadership/primary-leases.ts
@@ -15,7 +15,7 @@
 /** Leases on primaries. */
 export interface PrimaryLeases {
   /** The lease at this moment; it must be checked again right before each sending. */
-  of: (group: string) => PrimaryLease | undefined
+  leaseOf: (group: string) => PrimaryLease | undefined
   /** Records that peers have extended the leases, and when they were asked, on the steady clock. */
   extend: (askedAt: number) => void
   /** Time since the leases were last confirmed or extended, in milliseconds. */
@@ -25,7 +25,7 @@
   /** Gives up the lease on a group's primary in an epoch and all before it. */
   close: (group: string, epoch: number) => void
   /** Waits until there is a lease, for a bounded time. */
-  wait: (group: string, timeoutMs: number) => Promise<PrimaryLease | undefined>
+  waitForLease: (group: string, timeoutMs: number) => Promise<PrimaryLease | undefined>
   /**
    * Waits until a group has a primary at which hosts may work, whether or not this one may, for a bounded time.
    *
@@ -58,7 +58,7 @@
   }
   const of = (group: string): PrimaryLease | undefined => ageMs() > PRIMARY_LEASE_MS ? undefined : primaryOf(group)
   return {
-    of,
+    leaseOf: of,
     ageMs,
     extend: (askedAt) => { extendedAt = Math.max(extendedAt, askedAt) },
     closed: () => {
@@ -66,7 +66,7 @@
       return [...known, ...registry.current.closedGroups]
     },
     close: (group, epoch) => { closedEpochs.set(group, Math.max(epoch, closedEpochs.get(group) ?? 0)) },
-    wait: async (group, timeoutMs) => await waiters.until(() => of(group), timeoutMs),
+    waitForLease: async (group, timeoutMs) => await waiters.until(() => of(group), timeoutMs),
     waitForPrimary: async (group, timeoutMs) => await waiters.until(() => primaryOf(group), timeoutMs),
     notify: waiters.notify
   }
--- a/src/entry/leadership/recovery-estimates.ts
+++ b/src/entry/leadership/recovery-estimates.ts
@@ -22,13 +22,13 @@
 /** Estimates of when groups have a primary again. */
 export interface RecoveryEstimates {
   /** Records that a group has no working primary; the first report counts. */
-  lost: (group: string) => void
+  recordLoss: (group: string) => void
   /** Records that it has one after a failover. */
   back: (group: string) => void
   /** Records that the one that seemed lost can be reached again, which is no sample of a failover's time. */
-  reached: (group: string) => void
+  recordReachable: (group: string) => void
   /** Time until a group is expected to have a primary again, in milliseconds; 0 when it has not lost it. */
-  expectedMs: (group: string) => number
+  expectedRecoveryMs: (group: string) => number
 }
 
 /**
@@ -40,7 +40,7 @@
   const lostAt = new Map<string, number>()
   let typicalMs = TYPICAL_MS
   return {
-    lost: (group) => { lostAt.set(group, lostAt.get(group) ?? performance.now()) },
+    recordLoss: (group) => { lostAt.set(group, lostAt.get(group) ?? performance.now()) },
     back: (group) => {
       const since = lostAt.get(group)
       lostAt.delete(group)
@@ -49,8 +49,8 @@
         typicalMs += SAMPLE_WEIGHT * (tookMs - typicalMs)
       }
     },
-    reached: (group) => { lostAt.delete(group) },
-    expectedMs: (group) => {
+    recordReachable: (group) => { lostAt.delete(group) },
+    expectedRecoveryMs: (group) => {
       const since = lostAt.get(group)
       if (since === undefined) {
         return 0
--- a/src/entry/requests/index.ts
+++ b/src/entry/requests/index.ts
@@ -55,7 +55,7 @@
       get drainMs () { return settings.drainMs }
     }
     metrics.expose('worksward_sessions', 'Sessions that are open', () => ({ open: sessions.size }))
-    entryContext.freshness.useProver(createPositionProver(entryContext).prove)
+    entryContext.freshness.setProver(createPositionProver(entryContext).prove)
     const forwarded = serveForwarded({
       context: entryContext,
       peers: context.use('peers'),
--- a/src/entry/requests/local-executor.ts
+++ b/src/entry/requests/local-executor.ts
@@ -52,7 +52,7 @@
 export function holdsLease (
   { leadership }: Pick<EntryContext, 'leadership'>, group: string, primaryLease: PrimaryLease
 ): boolean {
-  return leadership.of(group)?.epoch === primaryLease.epoch
+  return leadership.leaseOf(group)?.epoch === primaryLease.epoch
 }
 
 /**
--- a/src/entry/requests/primary-access.ts
+++ b/src/entry/requests/primary-access.ts
@@ -55,7 +55,7 @@
     }
     await pause(NOT_RUN_PAUSE_MS)
   }
-  const retryAfterMs = retryAfterMsOf(leadership.expectedMs(group))
+  const retryAfterMs = retryAfterMsOf(leadership.expectedRecoveryMs(group))
   throw new RequestError('not-run', 'NoUpstream', { group, reason, retryAfterMs })
 }
 
@@ -63,7 +63,7 @@
 function waitUntil (
   { leadership }: Pick<EntryContext, 'leadership'>, { group, deadline }: RequestScope, otherwise: number
 ): number {
-  const expectedMs = leadership.expectedMs(group)
+  const expectedMs = leadership.expectedRecoveryMs(group)
   return expectedMs === 0 ? otherwise : performance.now() + failoverWaitMs(expectedMs, deadline.leftMs)
 }
 
@@ -93,17 +93,17 @@
 ): Promise<LocalExecutor | NotYet> {
   const { leadership, pools } = context
   const until = performance.now() + waitMs
-  const primaryLease = await leadership.wait(known.group, waitMs)
+  const primaryLease = await leadership.waitForLease(known.group, waitMs)
   if (primaryLease?.upstream !== known.upstream) {
     return { notYet: primaryLease === undefined ? 'this host has no right to work at the primary' : 'the primary has changed' }
   }
   const used = pools.of(known)
   if (used.health.unreachableSince !== undefined) {
-    leadership.lost(known.group)
+    leadership.recordLoss(known.group)
     leadership.suspect(known.upstream)
     return { notYet: 'the primary cannot be reached' }
   }
-  leadership.reached(known.group)
+  leadership.recordReachable(known.group)
   scope.attempts++
   try {
     const turn = await acquireConnection(context, scope, used, Math.max(1, until - performance.now()))
--- a/src/entry/requests/prove-position.ts
+++ b/src/entry/requests/prove-position.ts
@@ -37,10 +37,10 @@
 
   const ask = async (group: string): Promise<void> => {
     const { leadership, directory, homes, logger } = context
-    const primaryLease = leadership.of(group)
+    const primaryLease = leadership.leaseOf(group)
     const known = primaryLease === undefined ? undefined : directory.get(primaryLease.upstream)
     // While a primary is lost, the question would only hold up the reads that wait for it.
-    if (known === undefined || !homes.isHome(known) || leadership.expectedMs(group) > 0) {
+    if (known === undefined || !homes.isHome(known) || leadership.expectedRecoveryMs(group) > 0) {
       return
     }
     const scope: RequestScope = {
--- a/src/entry/requests/reads.ts
+++ b/src/entry/requests/reads.ts
@@ -96,7 +96,7 @@
     try {
       const waitMs = Math.max(1, scope.deadline.leftMs * WAIT_SHARE / 2)
       const turn = await acquireConnection(context, scope, used, waitMs)
-      const primaryLease = context.leadership.of(scope.group)
+      const primaryLease = context.leadership.leaseOf(scope.group)
       const isPrimary = primaryLease?.upstream === known.upstream
       return createLocalExecutor(context, {
         known, used, ...turn, after: place.position, primaryLease: isPrimary ? primaryLease : undefined
--- a/src/entry/requests/serve-forwarded.ts
+++ b/src/entry/requests/serve-forwarded.ts
@@ -192,7 +192,7 @@
   const used = context.pools.of(known)
   if (epoch === undefined) {
     const turn = await acquireConnection(context, scope, used, scope.deadline.leftMs * WAIT_SHARE)
-    const primaryLease = context.leadership.of(known.group)
+    const primaryLease = context.leadership.leaseOf(known.group)
     return createLocalExecutor(context, {
       known, used, ...turn, after, primaryLease: primaryLease?.upstream === known.upstream ? primaryLease : undefined
     })
@@ -201,7 +201,7 @@
     await registry.refresh()
   }
   // The requester waits for a primary; this host only reports whether it can work there at once.
-  const holdsPrimaryLease = context.leadership.of(known.group)?.upstream === known.upstream
+  const holdsPrimaryLease = context.leadership.leaseOf(known.group)?.upstream === known.upstream
   const executor = holdsPrimaryLease
     ? await localExecutorAtPrimary(context, scope, known, scope.deadline.leftMs * WAIT_SHARE)
     : { notYet: 'no right to work at the primary' }
--- a/src/entry/requests/types.ts
+++ b/src/entry/requests/types.ts
@@ -3,7 +3,7 @@
 import type { RetryBudget } from '../../retries/retry-budget.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import type { Directory } from '../directory/index.ts'
-import type { FreshnessOfGroups } from '../freshness/index.ts'
+import type { FreshnessService } from '../freshness/index.ts'
 import type { Limits } from '../limits/index.ts'
 import type { Leadership } from '../leadership/index.ts'
 import type { Pools, UsedUpstream } from '../pools/index.ts'
@@ -19,7 +19,7 @@
   directory: Directory
   leadership: Leadership
   limits: Limits
-  freshness: FreshnessOfGroups
+  freshness: FreshnessService
   logger: Logger
   budget: RetryBudget
   costs: StatementCosts
--- a/test/entry/process/recovery-estimates.test.ts
+++ b/test/entry/process/recovery-estimates.test.ts
@@ -90,7 +90,7 @@
 
   it('expects no failover any more', async () => {
     const primary = suite.world.upstreams.all.get('g-a')!
-    const expectedMs = (): number => suite.world.hosts.get(other)!.kernel.use('leadership').expectedMs('g')
+    const expectedMs = (): number => suite.world.hosts.get(other)!.kernel.use('leadership').expectedRecoveryMs('g')
     await suite.settle(suite.world.connect(other, 'money').write(), 100)
     MESSAGES_TO_HOMES.forEach((type) => suite.world.lostTypes.add(type))
     primary.cutOff.add(other)
