--- a/src/entry/freshness/proof-exchange.ts
+++ b/src/entry/freshness/proof-exchange.ts
@@ -105,7 +105,7 @@
       await untilFound(group, since, rest.map(async (peer) => await ask(peer, group, since)))
     }
     const found = isFound(group, since)
-    logger.log('info', 'freshness.asked', {
+    logger.log('info', 'freshness.proofs-requested', {
       group,
       peers: first.length + rest.length,
       found,
--- a/src/entry/leadership/stop-notice.ts
+++ b/src/entry/leadership/stop-notice.ts
@@ -74,7 +74,7 @@
       raise(publishedEpochs, closed)
     } catch (thrown) {
       // Whether or not the row was written, it is written again after the next snapshot.
-      logger.log('warn', 'leadership.stop-not-told', { group, epoch, reason: describeThrown(thrown) })
+      logger.log('warn', 'leadership.stop-notice-failed', { group, epoch, reason: describeThrown(thrown) })
     }
   }
   registry.onChange(() => {
