--- a/src/entry/freshness/group-freshness.ts
+++ b/src/entry/freshness/group-freshness.ts
@@ -1,26 +1,23 @@
 /**
- * Which position an upstream's log must have reached for a read. Owns the proofs of one group in one epoch.
- *
- * Inputs: answers of the primary (when the request was sent, on the steady clock, in milliseconds, and the position
- * that came back); the moment from which on everything acknowledged must be seen; what the session itself has written.
- * Rule: a request sent to the primary at time t that came back with position p proves that everything acknowledged
- * before t is at or before p. A read that accepts an age needs the position of the oldest proof that is young enough,
- * or its session's own floor where that is further in the same term; the upstream itself checks this. Without such a
- * proof only the primary will do.
+ * Determines which log position an upstream must have reached for a read, from proofs of one group in one epoch. If a
+ * request that was sent to the primary at time t returned position p, everything acknowledged before t is at or before
+ * p. A read that accepts an age needs the position of the oldest proof that is recent enough, or its session's last
+ * write if that is further in the same term. The upstream itself checks the position. Without such a proof the read
+ * must go to the primary.
  */
 import { comparePositions, laterPosition, type LogPosition } from '../../positions/position.ts'
 
-/** Age beyond which proofs are dropped, in milliseconds: above every age that routes accept, checked when read. */
-const KEPT_MS = 10_000
-/** Least distance of two proofs, in milliseconds: closer ones prove nearly the same. */
-const SPACING_MS = 20
+/** Age beyond which proofs are dropped, in milliseconds; longer than any age that routes accept. */
+const RETENTION_MS = 10_000
+/** Minimum time between two stored proofs, in milliseconds. */
+const MIN_SPACING_MS = 20
 
-/** Proofs in an answer to a peer, and their least distance in milliseconds. They cover the ages of routes. */
-const PASSED_ON = { count: 12, spacingMs: 250 } as const
+/** Maximum number of proofs in an answer to a peer, and the minimum time between them, in milliseconds. */
+const SHARED_PROOFS = { count: 12, spacingMs: 250 } as const
 
-/** A proof. */
+/** Position that covers everything acknowledged before a time. */
 interface PositionProof {
-  /** When the request was sent, on the steady clock, in milliseconds. */
+  /** When the request to the primary was sent, on the steady clock, in milliseconds. */
   sentAt: number
   position: LogPosition
 }
@@ -30,31 +27,31 @@
   /**
    * Records an answer of the primary.
    *
-   * @param epoch - epoch in which the request was sent, with a valid lease on the primary
-   * @param sentAt - when it was sent
-   * @param position - the position that came back
+   * @param epoch - epoch of the lease on the primary under which the request was sent
+   * @param sentAt - when the request was sent, on the steady clock
+   * @param position - log position in the answer
    */
   record: (epoch: number, sentAt: number, position: LogPosition) => void
   /**
-   * Returns the position that a read must find.
+   * Returns the position that an upstream must have reached for a read.
    *
-   * @param since - everything acknowledged before this moment must be seen
-   * @param sessionFloor - what the session itself has written
-   * @returns the position; undefined when no proof is fresh enough, so that only the primary will do
+   * @param since - time before which every acknowledged write must be visible, on the steady clock
+   * @param sessionFloor - position of the last write of the session
+   * @returns the position, or undefined if no proof is recent enough and only the primary can serve the read
    */
   floorSince: (since: number, sessionFloor?: LogPosition) => LogPosition | undefined
-  /** The newest proof's position. */
+  /** Position of the newest proof. */
   readonly newest: LogPosition | undefined
-  /** Epoch of the proofs; 0 before the first one. */
+  /** Epoch of the proofs, or 0 before the first proof. */
   readonly epoch: number
-  /** Proofs for a peer: the youngest first, some distance apart, as old as reads accept. */
+  /** Returns spaced proofs for a peer, newest first. */
   recent: () => PositionProof[]
 }
 
 /**
- * Creates the proofs of a group.
+ * Creates the collection of a group's proofs.
  *
- * @returns no proofs yet
+ * @returns an empty collection
  */
 export function createGroupFreshness (): GroupFreshness {
   let proofs: PositionProof[] = []
@@ -65,14 +62,14 @@
     while (index > 0 && proofs[index - 1]!.sentAt > proof.sentAt) {
       index--
     }
-    const [anchor, last] = [proofs[index - 2], proofs[index - 1]]
-    const crowded = anchor !== undefined && last !== undefined && last.sentAt - anchor.sentAt < SPACING_MS
-    if (crowded && index === proofs.length && comparePositions(proof.position, last.position) >= 0) {
+    const [secondLast, last] = [proofs[index - 2], proofs[index - 1]]
+    const tooClose = secondLast !== undefined && last !== undefined && last.sentAt - secondLast.sentAt < MIN_SPACING_MS
+    if (tooClose && index === proofs.length && comparePositions(proof.position, last.position) >= 0) {
       proofs[index - 1] = proof
     } else {
       proofs.splice(index, 0, proof)
     }
-    const oldest = proof.sentAt - KEPT_MS
+    const oldest = proof.sentAt - RETENTION_MS
     const firstKept = proofs.findIndex(({ sentAt }) => sentAt >= oldest)
     proofs = firstKept > 0 ? proofs.slice(firstKept) : proofs
   }
@@ -87,7 +84,7 @@
         proofs = []
       }
       const before = proofs.findLast((proof) => proof.sentAt <= sentAt)
-      // The log of a primary only grows in an epoch: a primary that reports less was restarted and has lost it.
+      // A primary's log only grows in an epoch; one that reports an earlier position has lost its data in a restart.
       if (before === undefined || comparePositions(position, before.position) >= 0) {
         insert({ sentAt, position })
       }
@@ -97,21 +94,21 @@
       if (proof === undefined) {
         return undefined
       }
-      // A position of an earlier term that is beyond its end was rolled back; a proof of a later term covers the rest.
+      // A proof of a later term covers the session's position of an earlier term, unless that write was rolled back.
       const covered = sessionFloor === undefined || sessionFloor.term < proof.position.term
       return covered ? proof.position : laterPosition(proof.position, sessionFloor)
     },
     get epoch () { return currentEpoch },
     recent: () => {
-      const chosen: PositionProof[] = []
+      const selected: PositionProof[] = []
       for (const proof of proofs.toReversed()) {
-        const last = chosen.at(-1)
-        const apart = last === undefined || last.sentAt - proof.sentAt >= PASSED_ON.spacingMs
-        if (apart && chosen.length < PASSED_ON.count) {
-          chosen.push(proof)
+        const last = selected.at(-1)
+        const apart = last === undefined || last.sentAt - proof.sentAt >= SHARED_PROOFS.spacingMs
+        if (apart && selected.length < SHARED_PROOFS.count) {
+          selected.push(proof)
         }
       }
-      return chosen
+      return selected
     },
     get newest () { return proofs.at(-1)?.position }
   }
--- a/src/entry/freshness/index.ts
+++ b/src/entry/freshness/index.ts
@@ -1,10 +1,10 @@
-/** Plug-in `freshness`: the proofs of every group, and their exchange between hosts. */
+/** Plug-in `freshness`: proofs of log positions for every group, and their exchange between hosts. */
 import { registerPlugin } from '../../core/kernel/index.ts'
 import { createGroupFreshness, type GroupFreshness } from './group-freshness.ts'
 import { createProofExchange, type ProofExchange } from './proof-exchange.ts'
 
-/** Service of the plug-in. */
 export interface FreshnessService extends ProofExchange {
+  /** Returns the proofs of a group. */
   of: (group: string) => GroupFreshness
 }
 
--- a/src/entry/freshness/peers-asked.ts
+++ b/src/entry/freshness/peers-asked.ts
@@ -1,40 +1,34 @@
 /**
- * Which peers are asked for a proof, and which of them first.
- *
- * Inputs: the homes of the primary, all known peers, this host. Rule: all homes in random order, then other peers drawn
- * at random, {@link PEERS_ASKED} in all and every home at least; the first {@link ASKED_FIRST} are asked before the
- * others. Why: a home nearly always has a proof or can make one; others reach what a partition takes away from the
- * homes.
+ * Chooses the peers that are asked for a proof: all homes of the primary in random order, then random other peers. The
+ * first {@link FIRST_ROUND_SIZE} are asked before the rest. A home nearly always has a proof or can obtain one; the
+ * other peers help when a partition separates this host from the homes.
  */
 import { chooseSome } from '../../core/random.ts'
 import type { KnownHost } from '../registry/index.ts'
 
-/**
- * Peers that are asked for one proof: the homes of the primary, and others drawn at random, more than a partition takes
- * away.
- */
-const PEERS_ASKED = 8
-/** Of these, those that are asked before the others: one of two homes nearly always has a proof or makes one. */
-const ASKED_FIRST = 2
+/** Number of peers that are asked for a proof, or more if the primary has more homes. */
+const PEER_COUNT = 8
+/** Number of peers that are asked in the first round. */
+const FIRST_ROUND_SIZE = 2
 
-/** Peers to ask. */
-interface PeersAsked {
+/** Peers to ask for a proof, in two rounds. */
+interface ProofPeers {
   first: KnownHost[]
   rest: KnownHost[]
 }
 
 /**
- * Chooses the peers.
+ * Chooses the peers to ask for a proof.
  *
  * @param homes - homes of the primary
  * @param peers - all known peers
  * @param self - name of this host
- * @returns those that are asked first, and the others
+ * @returns the peers of the first round, and the rest
  */
-export function choosePeersAsked (homes: KnownHost[], peers: KnownHost[], self: string): PeersAsked {
+export function chooseProofPeers (homes: KnownHost[], peers: KnownHost[], self: string): ProofPeers {
   const isHome = new Set(homes.map(({ name }) => name))
   const others = peers.filter(({ name }) => !isHome.has(name))
   const otherHomes = chooseSome(homes.filter(({ name }) => name !== self), homes.length)
-  const asked = [...otherHomes, ...chooseSome(others, PEERS_ASKED)].slice(0, Math.max(PEERS_ASKED, otherHomes.length))
-  return { first: asked.slice(0, ASKED_FIRST), rest: asked.slice(ASKED_FIRST) }
+  const chosen = [...otherHomes, ...chooseSome(others, PEER_COUNT)].slice(0, Math.max(PEER_COUNT, otherHomes.length))
+  return { first: chosen.slice(0, FIRST_ROUND_SIZE), rest: chosen.slice(FIRST_ROUND_SIZE) }
 }
--- a/src/entry/freshness/proof-exchange.ts
+++ b/src/entry/freshness/proof-exchange.ts
@@ -1,12 +1,7 @@
 /**
- * When a host asks its peers for proofs of positions, and when it makes one itself. Owns the questions in progress, one
- * for each group; peers-asked.ts decides whom to ask.
- *
- * Inputs: the group, the moment on the steady clock, in milliseconds, from which on everything acknowledged must be
- * seen. Rule: while no proof is young enough, this host tries to make one and asks the first peers; when none of them
- * has one, the others. After a question without result no other is asked for {@link NO_RESULT_PAUSE_MS}. A peer that is
- * asked makes a proof if it can and has none. Why: a host that has just started, or that does not reach the primary,
- * need not send all its reads to the primary.
+ * Exchanges proofs of log positions between hosts, so that a host that has just started or cannot reach the primary
+ * need not send all its reads there. While no proof is recent enough, this host tries to obtain one itself and asks the
+ * peers that `peers-asked.ts` chooses; a peer that has none obtains one if it can.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -14,13 +9,13 @@
 import type { KnownHost, Registry } from '../registry/index.ts'
 import { formatPosition } from '../../positions/position.ts'
 import type { GroupFreshness } from './group-freshness.ts'
-import { choosePeersAsked } from './peers-asked.ts'
-import { proofQuestionSchema, proofReplySchema } from './proof-messages.ts'
+import { chooseProofPeers } from './peers-asked.ts'
+import { proofRequestSchema, proofResponseSchema } from './proof-messages.ts'
 
-/** Time that a peer has to answer, in milliseconds: a round trip takes 3 ms, a busy process some tens. */
-const ANSWER_MS = 150
-/** Time for which no further question is asked after one without result, in milliseconds. */
-const NO_RESULT_PAUSE_MS = 300
+/** Timeout of a request to a peer, in milliseconds. */
+const ANSWER_TIMEOUT_MS = 150
+/** Pause after an unsuccessful round of requests for a group, in milliseconds. */
+const RETRY_PAUSE_MS = 300
 
 /** Options of {@link createProofExchange}. */
 interface ProofExchangeOptions {
@@ -30,81 +25,81 @@
   of: (group: string) => GroupFreshness
 }
 
-/** Makes a proof here, when this host can; see {@link ProofExchange.setProver}. */
+/** Obtains a proof from the primary, if this host can; see {@link ProofExchange.setProver}. */
 type Prover = (group: string) => Promise<void>
 
-/** Gets proofs from peers. */
+/** Exchange of proofs with peers. */
 export interface ProofExchange {
   /**
-   * Asks peers for proofs until one is fresh enough or all have answered. Requests that need the same at the same time
-   * share the question.
+   * Asks peers for proofs until one is recent enough or all have answered. Concurrent calls for a group share the
+   * requests.
    *
    * @param group - the group
-   * @param since - everything acknowledged before this moment must be seen, on the steady clock
-   * @param homes - hosts that can make a proof
-   * @returns whether a proof is fresh enough then
+   * @param since - time before which every acknowledged write must be visible, on the steady clock
+   * @param homes - homes of the primary, which can obtain a proof
+   * @returns whether a proof is recent enough
    */
   fetch: (group: string, since: number, homes: KnownHost[]) => Promise<boolean>
-  /** Sets what makes proofs here when none is known that suffices. */
+  /** Sets the function that obtains proofs on this host. */
   setProver: (prover: Prover) => void
 }
 
 /**
- * Creates the exchange, and answers the questions of peers.
+ * Creates the exchange, and answers the requests of peers.
  *
- * @param options - the links and the proofs
+ * @param options - the registry, the links to peers and the proofs of groups
  * @returns the exchange
  */
 export function createProofExchange ({ registry, peers, logger, of }: ProofExchangeOptions): ProofExchange {
-  const questions = new Map<string, Promise<void>>()
+  const pendingFetches = new Map<string, Promise<void>>()
   const pausedUntil = new Map<string, number>()
 
   let prove: Prover = async () => {}
-  const isFound = (group: string, since: number): boolean => of(group).floorSince(since) !== undefined
-  /** Makes a proof if none is known that is young enough. */
+  const hasRecentProof = (group: string, since: number): boolean => of(group).floorSince(since) !== undefined
+  /** Obtains a proof unless a known one is recent enough. */
   const ensureProof = async (group: string, since: number): Promise<void> => {
-    if (!isFound(group, since)) {
+    if (!hasRecentProof(group, since)) {
       await prove(group)
     }
   }
 
   peers.handle('freshness-proofs', async (body) => {
-    const { group, ageMs: greatestAgeMs } = proofQuestionSchema.parse(body)
-    await ensureProof(group, performance.now() - greatestAgeMs)
+    const { group, ageMs: maximumAgeMs } = proofRequestSchema.parse(body)
+    await ensureProof(group, performance.now() - maximumAgeMs)
     const { epoch, recent } = of(group)
     const now = performance.now()
     return { epoch, proofs: recent().map(({ position, sentAt }) => ({ position, ageMs: now - sentAt })) }
   })
-  const ask = async (peer: KnownHost, group: string, since: number): Promise<void> => {
-    // The reply is made after this moment, so counting ages from here takes no proof for younger than it is.
+  const requestProofs = async (peer: KnownHost, group: string, since: number): Promise<void> => {
+    // The reply is created after this time, so ages counted from here never make a proof appear too recent.
     const askedAt = performance.now()
     try {
-      const { epoch, proofs } = proofReplySchema.parse(await peers.ask(
-        peer, 'freshness-proofs', { group, ageMs: askedAt - since }, ANSWER_MS))
+      const { epoch, proofs } = proofResponseSchema.parse(await peers.ask(
+        peer, 'freshness-proofs', { group, ageMs: askedAt - since }, ANSWER_TIMEOUT_MS))
       proofs.forEach(({ position, ageMs }) => of(group).record(epoch, askedAt - ageMs, position))
     } catch (thrown) {
       logger.log('debug', 'registry.peer-silent', { peer: peer.name, reason: describeThrown(thrown) })
     }
   }
-  /** Waits until a proof is fresh enough, or all have answered. */
-  const untilFound = async (group: string, since: number, answers: Array<Promise<void>>): Promise<void> =>
+  /** Waits until a proof is recent enough, or all answers have come. */
+  const waitForProof = async (group: string, since: number, answers: Array<Promise<void>>): Promise<void> =>
     await new Promise((resolve) => {
       void Promise.all(answers.map(async (answer) => {
         await answer
-        if (isFound(group, since)) {
+        if (hasRecentProof(group, since)) {
           resolve()
         }
       })).then(() => resolve())
     })
-  const askSome = async (group: string, since: number, homes: KnownHost[]): Promise<void> => {
-    const { first, rest } = choosePeersAsked(homes, registry.peers(), registry.self.name)
+  const fetchProofs = async (group: string, since: number, homes: KnownHost[]): Promise<void> => {
+    const { first, rest } = chooseProofPeers(homes, registry.peers(), registry.self.name)
     const before = of(group).newest
-    const asking = first.map(async (peer) => await ask(peer, group, since))
-    await untilFound(group, since, [ensureProof(group, since), ...asking])
-    if (!isFound(group, since)) {
-      await untilFound(group, since, rest.map(async (peer) => await ask(peer, group, since)))
+    const firstAnswers = first.map(async (peer) => await requestProofs(peer, group, since))
+    await waitForProof(group, since, [ensureProof(group, since), ...firstAnswers])
+    if (!hasRecentProof(group, since)) {
+      await waitForProof(group, since, rest.map(async (peer) => await requestProofs(peer, group, since)))
     }
-    const found = isFound(group, since)
+    const found = hasRecentProof(group, since)
     logger.log('info', 'freshness.proofs-requested', {
       group,
       peers: first.length + rest.length,
@@ -113,18 +108,19 @@
       before: formatPosition(before)
     })
     if (!found) {
-      pausedUntil.set(group, performance.now() + NO_RESULT_PAUSE_MS)
+      pausedUntil.set(group, performance.now() + RETRY_PAUSE_MS)
     }
   }
   return {
     setProver: (prover) => { prove = prover },
     fetch: async (group, since, homes) => {
       if (performance.now() >= (pausedUntil.get(group) ?? -Infinity)) {
-        const question = questions.get(group) ?? askSome(group, since, homes).finally(() => questions.delete(group))
-        questions.set(group, question)
-        await question
+        const fetching = pendingFetches.get(group) ??
+          fetchProofs(group, since, homes).finally(() => pendingFetches.delete(group))
+        pendingFetches.set(group, fetching)
+        await fetching
       }
-      return isFound(group, since)
+      return hasRecentProof(group, since)
     }
   }
 }
--- a/src/entry/freshness/proof-messages.ts
+++ b/src/entry/freshness/proof-messages.ts
@@ -1,19 +1,19 @@
-/** Frames between hosts about proofs of positions: `freshness-proofs`. */
+/** Messages of the request `freshness-proofs` between hosts. */
 import * as z from 'zod'
 
-/** The question for proofs. */
-export const proofQuestionSchema = z.object({
+/** Body of the request for proofs. */
+export const proofRequestSchema = z.object({
   group: z.string(),
-  /** Age of the oldest proof that suffices, in milliseconds. */
+  /** Maximum age of a sufficient proof, in milliseconds. */
   ageMs: z.number()
 })
 
-/** The answer with proofs. */
-export const proofReplySchema = z.object({
+/** Body of the response with proofs. */
+export const proofResponseSchema = z.object({
   epoch: z.number(),
   proofs: z.array(z.object({
     position: z.object({ term: z.number(), position: z.number() }),
-    /** Time since the request to the primary was sent, when the reply was made, in milliseconds. */
+    /** Time from the request to the primary until the reply was created, in milliseconds. */
     ageMs: z.number()
   }))
 })
