--- a/src/entry/readiness/index.ts
+++ b/src/entry/readiness/index.ts
@@ -1,7 +1,6 @@
 /**
- * Plug-in `readiness`: answers the balancer, and shows metrics and the state dump on a port of their own.
- *
- * When is the process ready? Once it knows a desired state and an upstream, until it has to stop.
+ * Plug-in `readiness`: serves the health check of load balancers, and on a separate port the metrics and the state
+ * dump. The process is ready once it has a desired state and knows an upstream, until it begins to stop.
  */
 import { createServer, type Server } from 'node:http'
 import type { EntrySettings } from '../../core/config/entry-settings.ts'
@@ -25,27 +24,27 @@
     const { registry } = context.use('metrics')
     const isReady = (): boolean =>
       desiredState.current !== undefined && directory.all().length > 0 && !context.stopping.aborted
-    const readiness = createServer((_request, response) => {
+    const readinessServer = createServer((_request, response) => {
       response.writeHead(isReady() ? OK : UNAVAILABLE).end()
     })
-    const inspection = createServer((request, response) => {
+    const inspectionServer = createServer((request, response) => {
       if (request.url === '/dump') {
         response.writeHead(OK, { 'Content-Type': 'application/json' }).end(JSON.stringify(context.dump(), null, 2))
         return
       }
       registry.metrics().then(
         (text) => response.writeHead(OK, { 'Content-Type': registry.contentType }).end(text),
-        // A gauge that cannot be read fails the whole page; the next scrape shows whether it lasts.
+        // One gauge that throws fails the whole response; a temporary failure is gone at the next scrape.
         () => response.writeHead(UNAVAILABLE).end())
     })
     await Promise.all([
-      listenOn(readiness, parseEndpoint(listen.readiness)),
-      listenOn(inspection, { address: host.address, port: listen.metrics })
+      listenOn(readinessServer, parseEndpoint(listen.readiness)),
+      listenOn(inspectionServer, { address: host.address, port: listen.metrics })
     ])
     return {
       service: {},
       close: () => {
-        for (const server of [readiness, inspection]) {
+        for (const server of [readinessServer, inspectionServer]) {
           server.close()
           server.closeAllConnections()
         }
