--- a/src/entry/requests/primary-access.ts
+++ b/src/entry/requests/primary-access.ts
@@ -58,7 +58,7 @@
     }
     await pause(RETRY_PAUSE_MS)
   }
-  const retryAfterMs = retryAfterMsOf(leadership.expectedMs(group))
+  const retryAfterMs = retryAfterMsOf(leadership.expectedRecoveryMs(group))
   throw new RequestError('not-run', 'NoUpstream', { group, reason, retryAfterMs })
 }
 
@@ -66,7 +66,7 @@
 function primaryWaitDeadline (
   { leadership }: Pick<EntryContext, 'leadership'>, { group, deadline }: RequestScope, defaultDeadline: number
 ): number {
-  const expectedMs = leadership.expectedMs(group)
+  const expectedMs = leadership.expectedRecoveryMs(group)
   return expectedMs === 0 ? defaultDeadline : performance.now() + failoverWaitMs(expectedMs, deadline.leftMs)
 }
 
@@ -96,7 +96,7 @@
 ): Promise<LocalExecutor | PrimaryUnavailable> {
   const { leadership, pools } = context
   const until = performance.now() + waitMs
-  const primaryLease = await leadership.wait(target.group, waitMs)
+  const primaryLease = await leadership.waitForLease(target.group, waitMs)
   if (primaryLease?.upstream !== target.upstream) {
     return {
       unavailableReason: primaryLease === undefined
@@ -106,11 +106,11 @@
   }
   const resources = pools.of(target)
   if (resources.health.unreachableSince !== undefined) {
-    leadership.lost(target.group)
+    leadership.recordLoss(target.group)
     leadership.suspect(target.upstream)
     return { unavailableReason: 'the primary cannot be reached' }
   }
-  leadership.reached(target.group)
+  leadership.recordReachable(target.group)
   scope.attempts++
   try {
     const acquired = await acquireConnection(context, scope, resources, Math.max(1, until - performance.now()))
--- a/src/entry/requests/prove-position.ts
+++ b/src/entry/requests/prove-position.ts
@@ -38,10 +38,10 @@
 
   const queryLogEnd = async (group: string): Promise<void> => {
     const { leadership, directory, homes, logger } = context
-    const primaryLease = leadership.of(group)
+    const primaryLease = leadership.leaseOf(group)
     const target = primaryLease === undefined ? undefined : directory.get(primaryLease.upstream)
     // During a failover the query would only delay the reads that wait for its result.
-    if (target === undefined || !homes.isHome(target) || leadership.expectedMs(group) > 0) {
+    if (target === undefined || !homes.isHome(target) || leadership.expectedRecoveryMs(group) > 0) {
       return
     }
     const scope: RequestScope = {
--- a/src/entry/requests/reads.ts
+++ b/src/entry/requests/reads.ts
@@ -92,7 +92,7 @@
     try {
       const waitMs = Math.max(1, scope.deadline.leftMs * WAIT_SHARE / 2)
       const acquired = await acquireConnection(context, scope, resources, waitMs)
-      const primaryLease = context.leadership.of(scope.group)
+      const primaryLease = context.leadership.leaseOf(scope.group)
       const isPrimary = primaryLease?.upstream === target.upstream
       return createLocalExecutor(context, {
         target, resources, ...acquired, after: constraint.position, primaryLease: isPrimary ? primaryLease : undefined
--- a/src/entry/requests/serve-forwarded.ts
+++ b/src/entry/requests/serve-forwarded.ts
@@ -192,7 +192,7 @@
   const resources = context.pools.of(target)
   if (epoch === undefined) {
     const acquired = await acquireConnection(context, scope, resources, scope.deadline.leftMs * WAIT_SHARE)
-    const primaryLease = context.leadership.of(target.group)
+    const primaryLease = context.leadership.leaseOf(target.group)
     return createLocalExecutor(context, {
       target,
       resources,
@@ -205,7 +205,7 @@
     await registry.refresh()
   }
   // The forwarding host waits for a primary; this host only reports whether it can use the primary right away.
-  const holdsPrimaryLease = context.leadership.of(target.group)?.upstream === target.upstream
+  const holdsPrimaryLease = context.leadership.leaseOf(target.group)?.upstream === target.upstream
   const executor = holdsPrimaryLease
     ? await acquireLocalPrimaryExecutor(context, scope, target, scope.deadline.leftMs * WAIT_SHARE)
     : { unavailableReason: 'no right to work at the primary' }
