--- a/src/entry/desired-state/index.ts
+++ b/src/entry/desired-state/index.ts
@@ -21,7 +21,7 @@
    * @param timeoutMs - greatest wait, in milliseconds
    * @returns whether one is
    */
-  known: (timeoutMs: number) => Promise<boolean>
+  waitForFirst: (timeoutMs: number) => Promise<boolean>
   /**
    * Makes sure that a version or a newer one is in force here, reading the table again when it is not yet.
    *
@@ -29,7 +29,7 @@
    * @param timeoutMs - greatest wait, in milliseconds
    * @returns whether it is in force
    */
-  reach: (version: number, timeoutMs: number) => Promise<boolean>
+  ensureVersion: (version: number, timeoutMs: number) => Promise<boolean>
 }
 
 declare module '../../core/kernel/index.ts' {
@@ -88,8 +88,8 @@
       service: {
         get current () { return current },
         onChange: (listener) => { listeners.push(listener) },
-        known: async (timeoutMs) => await waiters.until(() => isReached(0) || undefined, timeoutMs) ?? false,
-        reach: async (version, timeoutMs) => {
+        waitForFirst: async (timeoutMs) => await waiters.until(() => isReached(0) || undefined, timeoutMs) ?? false,
+        ensureVersion: async (version, timeoutMs) => {
           if (isReached(version)) {
             return true
           }
--- a/src/entry/leadership/failover.ts
+++ b/src/entry/leadership/failover.ts
@@ -170,7 +170,7 @@
     writtenBy: registry.self.name,
     succession: ''
   })
-  registry.nudgePeers()
+  registry.requestPeerRefresh()
   logger.log('info', 'failover.done', { group, upstream: now?.primary, epoch: now?.epoch, term: now?.term })
   return now?.state === 'open' ? now.primary : undefined
 }
--- a/src/entry/leadership/first-primary.ts
+++ b/src/entry/leadership/first-primary.ts
@@ -32,5 +32,5 @@
     expected: [{ key, version: 0 }], put: [{ key, value: JSON.stringify(row) }]
   })
   logger.log('info', 'leadership.first-primary', { group, upstream: first.upstream, written })
-  registry.nudgePeers()
+  registry.requestPeerRefresh()
 }
--- a/src/entry/limits/index.ts
+++ b/src/entry/limits/index.ts
@@ -68,7 +68,7 @@
     })
     handle('limit-take', async (body, link) => {
       requesters.record(link.host)
-      return await answerLimitQuestion(body, { grantHere, version, reach: desiredState.reach })
+      return await answerLimitQuestion(body, { grantHere, version, reach: desiredState.ensureVersion })
     })
     metrics.expose(
       'worksward_limit_granted', 'Operations granted by this host as the one that keeps limits',
--- a/src/entry/organisations/identify.ts
+++ b/src/entry/organisations/identify.ts
@@ -19,7 +19,7 @@
  * @returns the organisation; {@link NO_ORGANISATION} where none is needed and none holds the key
  * @throws RequestError `UnknownKey` with verdict `not-run`
  */
-export function identify (
+export function identifyOrganisation (
   { keys, organisations }: Pick<DesiredState, 'keys' | 'organisations'>, { needsKey, database }: Route, keyDigest: string
 ): Organisation {
   const organisation = organisations.get(keys.get(keyDigest) ?? '')
--- a/src/entry/registry/index.ts
+++ b/src/entry/registry/index.ts
@@ -75,7 +75,7 @@
       publishStopped: ownRow.publishStopped,
       onChange: state.onChange,
       onStoreLost: registryStore.onStoreLost,
-      nudgePeers,
+      requestPeerRefresh: nudgePeers,
       storeNowAtLeastMs: registryStore.storeNowAtLeastMs,
       storeNowAtMostMs: registryStore.storeNowAtMostMs
     }
--- a/src/entry/registry/service.ts
+++ b/src/entry/registry/service.ts
@@ -36,7 +36,7 @@
   /** Calls back when the store has stopped answering this host. */
   onStoreLost: (listener: () => void) => void
   /** Asks peers to read the table now. */
-  nudgePeers: () => void
+  requestPeerRefresh: () => void
   /** Time of the store's clock now, as the least it can be, in milliseconds. */
   storeNowAtLeastMs: () => number
   /** Time of the store's clock now, as the most it can be, in milliseconds. */
--- a/src/entry/requests/caller-route.ts
+++ b/src/entry/requests/caller-route.ts
@@ -4,7 +4,7 @@
  * keeps the route with which it began.
  */
 import { RequestError } from '../../core/errors/index.ts'
-import { identify } from '../organisations/identify.ts'
+import { identifyOrganisation } from '../organisations/identify.ts'
 import type { CallerLink, DesiredState, Organisation, Route } from '../ports/index.ts'
 
 /** Where a caller's requests go, and on behalf of which organisation. */
@@ -28,7 +28,7 @@
   if (state === undefined || route === undefined) {
     throw new RequestError('not-run', 'UnknownGroup', { group: database })
   }
-  return { route, organisation: identify(state, route, keyDigest) }
+  return { route, organisation: identifyOrganisation(state, route, keyDigest) }
 }
 
 /**
--- a/src/entry/requests/index.ts
+++ b/src/entry/requests/index.ts
@@ -71,7 +71,7 @@
         context: entryContext,
         link,
         desiredState: () => desiredState.current,
-        stateKnown: desiredState.known,
+        stateKnown: desiredState.waitForFirst,
         onDone: metrics.recordRequest,
         onClose: () => sessions.delete(session)
       })
--- a/src/entry/requests/serve-forwarded.ts
+++ b/src/entry/requests/serve-forwarded.ts
@@ -33,7 +33,7 @@
   context: PrimaryContext & Pick<EntryContext, 'costs' | 'logger'>
   peers: Pick<Peers, 'handle'>
   registry: Pick<Registry, 'current' | 'refresh'>
-  desiredState: Pick<DesiredStateInForce, 'reach'>
+  desiredState: Pick<DesiredStateInForce, 'ensureVersion'>
   /** Time for which a transaction may be idle between two steps, in milliseconds. */
   idleMs: () => number
   /** Whether this process has been told to stop. */
@@ -171,7 +171,7 @@
 async function reachVersion (
   { desiredState }: ForwardedOptions, { group, version }: RequestScope
 ): Promise<void> {
-  if (!await desiredState.reach(version, REACH_VERSION_MS)) {
+  if (!await desiredState.ensureVersion(version, REACH_VERSION_MS)) {
     const reason = `version ${version} of the desired state is not in force here yet`
     throw new RequestError('not-run', 'NoUpstream', { group, reason, retryAfterMs: NOT_RUN_PAUSE_MS })
   }
