--- a/src/entry/registry/own-row.ts
+++ b/src/entry/registry/own-row.ts
@@ -71,7 +71,7 @@
     publishStopped: async (group, epoch) => {
       row.stopped = { ...row.stopped, [group]: epoch }
       const written = await update()
-      logger.log('info', 'registry.stop-told', { group, epoch, written })
+      logger.log('info', 'registry.stop-published', { group, epoch, written })
     },
     publishLeaving: async () => {
       row.leaving = true
@@ -79,7 +79,7 @@
         const written = await update()
         logger.log('info', 'registry.leaving', { written })
       } catch (thrown) {
-        logger.log('warn', 'registry.leaving-not-told', { reason: describeThrown(thrown) })
+        logger.log('warn', 'registry.leaving-not-published', { reason: describeThrown(thrown) })
       }
     },
     unregister: async () => {
