--- a/src/entry/desired-state/index.ts
+++ b/src/entry/desired-state/index.ts
@@ -81,8 +81,8 @@
       exchange: context.use('tableRelay'),
       onRows: apply,
       onChanges: apply,
-      onStoreLost: context.use('registry').onStoreLost,
-      onReread: (listener) => { reread = listener }
+      onStoreUnavailable: context.use('registry').onStoreUnavailable,
+      onReadRequest: (listener) => { reread = listener }
     })
     return {
       service: {
--- a/src/entry/directory/index.ts
+++ b/src/entry/directory/index.ts
@@ -4,7 +4,7 @@
  */
 import { registerPlugin } from '../../core/kernel/index.ts'
 import type { StoreRow } from '../ports/index.ts'
-import { followTable, GATHER_MS } from '../registry/follow-table.ts'
+import { followTable, CHANGE_BATCH_MS } from '../registry/follow-table.ts'
 import '../registry/change-notifications.ts'
 import '../registry/table-exchange.ts'
 import { createUpstreamDirectory, type DirectoryChange, type UpstreamDirectory } from './upstream-directory.ts'
@@ -59,9 +59,9 @@
         return changes.length > 0
       },
       onChanges: (changed, removed) => notify(directory.update(decode(changed), removed)),
-      onStoreLost: context.use('registry').onStoreLost,
-      gatherMs: GATHER_MS,
-      onReread: (listener) => { reread = listener }
+      onStoreUnavailable: context.use('registry').onStoreUnavailable,
+      batchMs: CHANGE_BATCH_MS,
+      onReadRequest: (listener) => { reread = listener }
     })
     /** A missing row counts only once the table has been read again. */
     const expiryCheck = setInterval(() => {
--- a/src/entry/registry/change-notifications.ts
+++ b/src/entry/registry/change-notifications.ts
@@ -1,7 +1,6 @@
 /**
- * Plug-in `tableNews`: the hosts that follow a table of the store notify each other of its changes. An open connection
- * may go silent for good, and a question for changes waits long on one; a host that is notified of a change which its
- * own question has not returned reads the table again.
+ * Plug-in `tableNews`: hosts that follow a table of the store notify each other of its changes. A host whose long poll
+ * hangs on a silent connection reads the table again when a peer notifies it of a change that it has not received.
  */
 import * as z from 'zod'
 import { describeThrown } from '../../core/errors/index.ts'
@@ -11,7 +10,6 @@
 import { followersOf } from './readers.ts'
 import type { KnownHost } from './snapshot.ts'
 
-/** Service of the plug-in. */
 export interface ChangeNotifications {
   /**
    * Notifies peers that a table has changed.
@@ -20,7 +18,7 @@
    * @param version - version of its newest changed row
    */
   notify: (table: string, version: number) => void
-  /** Calls back when a peer notifies this host of a change of a table. */
+  /** Adds a listener that is called when a peer notifies this host of a change to the table. */
   onNotified: (table: string, listener: (version: number, peer: string) => void) => void
 }
 
@@ -29,17 +27,15 @@
 }
 
 /**
- * Peers that each host notifies, chosen at random. Of 2,300 hosts on which every third question hangs, fewer than one
- * in a thousand is then notified by nobody (e to the power of -8); with few hosts each notifies all others.
+ * Number of random peers that each host notifies. It is high enough that every follower is very likely notified, even
+ * if one third of the long polls hang; in a small deployment each host notifies all others.
  */
 const FANOUT = 8
-/**
- * Greatest delay before peers are notified, in milliseconds: those that have notified this host meanwhile are left out.
- */
+/** Maximum delay of a notification, in milliseconds; peers that notify this host within it need none. */
 const NOTIFY_DELAY_MS = 100
-/** Time that a peer has to acknowledge, in milliseconds, and tries: a link may be silent. */
-const NOTIFY_MS = 600
-const NOTIFY_TRIES = 2
+/** Time that a peer has to acknowledge a notification, in milliseconds. */
+const NOTIFY_TIMEOUT_MS = 600
+const NOTIFY_ATTEMPTS = 2
 
 const notificationSchema = z.object({ table: z.string(), version: z.number(), host: z.string() })
 
@@ -51,38 +47,38 @@
     const peers = context.use('peers')
     const { logger } = context
     const listeners = new Map<string, Array<(version: number, peer: string) => void>>()
-    /** Newest version of which each peer has notified this host, by table and peer. */
-    const notifiedBy = new Map<string, Map<string, number>>()
-    /** Versions of pending notifications, by table: changes in quick succession make one notification. */
+    /** Newest version reported by each peer, by table and peer. */
+    const reportedVersions = new Map<string, Map<string, number>>()
+    /** Versions of pending notifications, by table; changes in quick succession share one notification. */
     const pending = new Map<string, number>()
 
-    const knownAt = (table: string, peer: string): number => notifiedBy.get(table)?.get(peer) ?? -1
-    const recordNotified = (table: string, peer: string, version: number): void => {
-      const versions = notifiedBy.get(table) ?? new Map<string, number>()
-      versions.set(peer, Math.max(version, knownAt(table, peer)))
-      notifiedBy.set(table, versions)
+    const reportedBy = (table: string, peer: string): number => reportedVersions.get(table)?.get(peer) ?? -1
+    const recordReport = (table: string, peer: string, version: number): void => {
+      const versions = reportedVersions.get(table) ?? new Map<string, number>()
+      versions.set(peer, Math.max(version, reportedBy(table, peer)))
+      reportedVersions.set(table, versions)
     }
     const notifyPeer = async (peer: KnownHost, table: string, version: number): Promise<void> => {
       const notification = { table, version, host: registry.self.name }
-      for (let tries = 1; tries <= NOTIFY_TRIES; tries++) {
+      for (let attempt = 1; attempt <= NOTIFY_ATTEMPTS; attempt++) {
         try {
-          await peers.ask(peer, 'table-news', notification, NOTIFY_MS)
+          await peers.ask(peer, 'table-news', notification, NOTIFY_TIMEOUT_MS)
           return
         } catch (thrown) {
           logger.log('debug', 'registry.peer-silent', { peer: peer.name, reason: describeThrown(thrown) })
         }
       }
     }
-    const notifySome = async (table: string): Promise<void> => {
+    const notifyPeers = async (table: string): Promise<void> => {
       const version = pending.get(table)!
       pending.delete(table)
-      const behind = followersOf(registry.current.liveHosts)
-        .filter(({ name }) => name !== registry.self.name && knownAt(table, name) < version)
-      await Promise.all(chooseSome(behind, FANOUT).map(async (peer) => await notifyPeer(peer, table, version)))
+      const outdated = followersOf(registry.current.liveHosts)
+        .filter(({ name }) => name !== registry.self.name && reportedBy(table, name) < version)
+      await Promise.all(chooseSome(outdated, FANOUT).map(async (peer) => await notifyPeer(peer, table, version)))
     }
     peers.handle('table-news', async (body) => {
       const { table, version, host } = notificationSchema.parse(body)
-      recordNotified(table, host, version)
+      recordReport(table, host, version)
       listeners.get(table)?.forEach((listener) => listener(version, host))
       return {}
     })
@@ -92,7 +88,7 @@
           const before = pending.get(table)
           pending.set(table, Math.max(version, before ?? 0))
           if (before === undefined) {
-            void pause(Math.random() * NOTIFY_DELAY_MS).then(async () => await notifySome(table))
+            void pause(Math.random() * NOTIFY_DELAY_MS).then(async () => await notifyPeers(table))
           }
         },
         onNotified: (table, listener) => { listeners.set(table, [...listeners.get(table) ?? [], listener]) }
--- a/src/entry/registry/follow-table.ts
+++ b/src/entry/registry/follow-table.ts
@@ -1,15 +1,8 @@
 /**
- * Keeps up with a table of the store, and decides whom this host asks for it next: the store, or a host that follows
- * the table.
- *
- * - Inputs: whether this host is a follower, how long it still acts as one (milliseconds, steady clock), and whether a
- *   peer has notified it of a version that it has not got.
- * - Rule: a follower asks the store first, and peers when the store fails. Any other host asks peers first, and the
- *   store when none can answer; then it acts as a follower for {@link ACT_AS_FOLLOWER_MS}. A host whose own question
- *   has not returned a change within {@link BEHIND_MS} of a notification asks peers first, whoever it is.
- *   What a peer answers counts only when it is as of the newest version that any has notified.
- * - Why: calls to the store are priced, and the connection of a question to the store may go silent for good. Hosts
- *   that the store rejects would go on telling each other that nothing is new.
+ * Follows a table of the store. Followers read the store first, and other followers if that fails. All other hosts
+ * read from followers first, to save calls to the store; if none can answer, they act as followers for
+ * {@link FALLBACK_FOLLOWER_MS}. A host that misses a change of which a peer has notified it reads from peers, because
+ * its own connection to the store may hang. A peer's answer must include the newest version that any peer has reported.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -22,101 +15,99 @@
 import { createTableReads } from './table-reads.ts'
 
 /**
- * Time after which an empty answer to a question for changes comes, in milliseconds. Calls to the store are priced, and
- * it takes 30 s at most. A question that hangs is noticed earlier, by the notifications of peers.
- */
-const FOLLOW_WAIT_MS = 25_000
-/**
- * Pause after changes before the next question, in milliseconds: one answer returns changes in quick succession.
- * Upstreams that announce themselves one after the other would have every host ask again after each.
+ * Time that the store holds a request for changes, in milliseconds; it permits at most 30 s. A long time saves calls to
+ * the store, and notifications from peers reveal a request that hangs.
  */
-export const GATHER_MS = 400
+const LONG_POLL_MS = 25_000
+/** Pause after changes, in milliseconds, so that changes in quick succession share one answer. */
+export const CHANGE_BATCH_MS = 400
 /**
- * First and greatest pause after a failure, in milliseconds. A store that rejects a host charges for each call; two of
- * the greatest pauses fit into what a host may take to be in contact again after an outage.
+ * Bounds of the pause after a failure, in milliseconds. Rejected calls to the store are charged too, and two of the
+ * longest pauses must fit into the time that a host may take to recover from an outage.
  */
-const RETRY_MS = { first: 150, greatest: 1200 } as const
-/** Time that the own question has to return a change after a peer's notification, in milliseconds. */
-const BEHIND_MS = 250
+const RETRY_MS = { min: 150, max: 1200 } as const
+/** Time within which this host's own request must return a change after a peer's notification, in milliseconds. */
+const CHANGE_GRACE_MS = 250
 /**
- * Time for which a host acts as a follower after no peer could answer it, in milliseconds: hosts that are cut off from
- * the others are so for some seconds, and would read the whole table in each turn.
+ * Time that a host acts as a follower after no peer could answer it, in milliseconds. Otherwise a host cut off
+ * from its peers would read the full table in each turn.
  */
-const ACT_AS_FOLLOWER_MS = 5000
+const FALLBACK_FOLLOWER_MS = 5000
 
-/** Options of {@link followTable}. */
 interface FollowOptions extends Omit<FollowedTableOptions, 'notifications'> {
   store: StorePort
   logger: Logger
   /** Notifies peers of changes, and receives their notifications. */
   notifications: ChangeNotifications
-  /** Asks other hosts for the table, and lets them ask this one. */
+  /** Reads the table from other hosts, and serves it to them. */
   exchange: TableExchange
-  /** Calls back when the store has stopped answering this host: a question that waits may hang for long. */
-  onStoreLost: (listener: () => void) => void
-  /** Pause after changes before the next question, in milliseconds; none where each one counts. */
-  gatherMs?: number
-  /** Calls back when the table must be read whole now. */
-  onReread?: (listener: () => void) => void
+  /** Adds a listener that is called when the store stops answering this host; a pending long poll may hang. */
+  onStoreUnavailable: (listener: () => void) => void
+  /** Pause after changes before the next request, in milliseconds; 0 to receive each change at once. */
+  batchMs?: number
+  /** Receives a callback that requests a full read of the table. */
+  onReadRequest?: (listener: () => void) => void
 }
 
 /**
  * Follows a table until stopped.
  *
- * @param options - the table, and who is called when it changes
- * @returns stops following
+ * @param options - the table, its sources, and the callbacks for changes
+ * @returns a function that stops following
  */
 export function followTable (options: FollowOptions): () => void {
-  const { store, table, logger, notifications, exchange, gatherMs = 0 } = options
+  const { store, table, logger, notifications, exchange, batchMs = 0 } = options
   const followed = createFollowedTable(options)
-  const reads = createTableReads({ store, table, logger, followed, notifications, exchange, gatherMs })
-  /** Whether a peer knows of a change that this host has not got: a peer's answer is surer than a silent store's. */
-  let isPeerAhead = false
-  /** Newest version that peers have notified this host of; it outlasts a version that is forgotten meanwhile. */
+  const reads = createTableReads({ store, table, logger, followed, notifications, exchange, batchMs })
+  /** Whether a peer has reported a change that this host lacks, so that the next read prefers peers. */
+  let preferPeers = false
+  /** Newest version that peers have reported; kept when the followed version is invalidated. */
   let newestNotified = -1
-  let actsAsFollowerUntil = -Infinity
-  const asksStoreFirst = (): boolean => exchange.isFollower() || performance.now() < actsAsFollowerUntil
+  let fallbackFollowerUntil = -Infinity
+  const readsStoreFirst = (): boolean => exchange.isFollower() || performance.now() < fallbackFollowerUntil
 
-  exchange.serve(table, { copy: followed.copy, readAnew: reads.readAnew, isFollowing: () => reads.isFollowing })
-  exchange.onRelieved(reads.interrupt)
-  options.onStoreLost(() => {
-    if (asksStoreFirst()) {
-      reads.startAgain()
+  exchange.serve(table, {
+    copy: followed.copy, requestFreshRead: reads.requestFreshRead, isFollowing: () => reads.isFollowing
+  })
+  exchange.onFollowerRoleEnd(reads.interrupt)
+  options.onStoreUnavailable(() => {
+    if (readsStoreFirst()) {
+      reads.requestFullRead()
     }
   })
-  options.onReread?.(reads.readAnew)
+  options.onReadRequest?.(reads.requestFreshRead)
   notifications.onNotified(table, (notifiedVersion, peer) => {
     newestNotified = Math.max(newestNotified, notifiedVersion)
-    void pause(BEHIND_MS).then(() => {
-      // The copy's version: the one to ask from is forgotten whenever the store fails.
+    void pause(CHANGE_GRACE_MS).then(() => {
+      // Uses the version of the copy, because a failure of the store invalidates the followed version.
       const { version } = followed.copy
       if (version !== undefined && version < notifiedVersion) {
         logger.log('info', 'feed.behind', { table, version, told: notifiedVersion, peer })
-        isPeerAhead = true
-        reads.readAnew()
+        preferPeers = true
+        reads.requestFreshRead()
       }
     })
   })
 
   const readFromStore = async (): Promise<void> => {
     if (followed.version === undefined) {
-      await reads.readWhole()
+      await reads.readFull()
       return
     }
-    actsAsFollowerUntil = Math.max(actsAsFollowerUntil, performance.now() + ACT_AS_FOLLOWER_MS)
-    await reads.readChanges(followed.version, exchange.isFollower() ? FOLLOW_WAIT_MS : ACT_AS_FOLLOWER_MS)
+    fallbackFollowerUntil = Math.max(fallbackFollowerUntil, performance.now() + FALLBACK_FOLLOWER_MS)
+    await reads.readChanges(followed.version, exchange.isFollower() ? LONG_POLL_MS : FALLBACK_FOLLOWER_MS)
   }
   const readOnce = async (): Promise<void> => {
-    await exchange.hostsKnown()
-    if (!asksStoreFirst() || isPeerAhead) {
-      isPeerAhead = false
+    await exchange.waitForHosts()
+    if (!readsStoreFirst() || preferPeers) {
+      preferPeers = false
       await reads.readFromPeer(newestNotified) || await readFromStore()
       return
     }
     try {
       await readFromStore()
     } catch (thrown) {
-      actsAsFollowerUntil = -Infinity
+      fallbackFollowerUntil = -Infinity
       if (!await reads.readFromPeer(newestNotified)) {
         throw thrown
       }
@@ -127,16 +118,16 @@
     await readOnce()
     failures.succeeded()
   }, (thrown) => {
-    followed.forgetVersion()
+    followed.invalidate()
     failures.failed(thrown)
-  }, RETRY_MS.first, RETRY_MS.greatest)
+  }, RETRY_MS.min, RETRY_MS.max)
   return () => {
     stop()
     reads.interrupt()
   }
 }
 
-/** Logs when reading a table begins to fail and when it succeeds again, not each failure. */
+/** Logs the first failure to read a table, and the first success after it. */
 function createFailureLog (
   { table, logger }: Pick<FollowOptions, 'table' | 'logger'>, version: () => number | undefined
 ): { succeeded: () => void, failed: (thrown: unknown) => void } {
--- a/src/entry/registry/host-expiry.ts
+++ b/src/entry/registry/host-expiry.ts
@@ -1,13 +1,7 @@
 /**
- * Decides when a host that has gone silent is retired, so that a failover need not wait for it.
- *
- * - Inputs: how long the next host in the order of names has been silent (milliseconds), whether it refuses
- *   connections, and the longest time for which it may still hold leases (milliseconds).
- * - Rule: each host asks the next one each {@link ASK_MS}. After {@link SILENT_MS} without an answer its row is
- *   retired: its leases count as expired at once when it refuses connections, and after the longest lease otherwise.
- *   The row is removed once that time has passed on the store's clock.
- * - Why: one watcher for each host keeps the questions few. A host that is alive after all registers itself again as
- *   soon as it reads the table.
+ * Retires hosts that stop answering, so that failovers need not wait for them. Each host probes only the next one in
+ * the order of names. The leases of a retired host expire at once if it refused the connection, and after the longest
+ * lease otherwise; then its row is removed. A host that is still alive registers again.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -18,31 +12,30 @@
 import type { KnownHost } from './snapshot.ts'
 import { hostRowSchema, registryKeys, RETIRED_PROCESS, type HostRow } from './types.ts'
 
-/** Time between two questions to the next host, in milliseconds. */
-const ASK_MS = 1000
-/** Time the next host has to answer, in milliseconds. */
-const ANSWER_MS = 600
-/** Silence after which a host is retired, in milliseconds: three questions, and longer than a restart takes. */
-const SILENT_MS = 2500
+/** Interval between probes of the next host, in milliseconds. */
+const PROBE_INTERVAL_MS = 1000
+/** Timeout of a probe, in milliseconds. */
+const PROBE_TIMEOUT_MS = 600
+/** Time without an answer after which a host is retired, in milliseconds; longer than a restart takes. */
+const RETIRE_AFTER_MS = 2500
 
-/** Options of {@link watchNextHost}. */
 interface HostExpiryOptions {
   registry: Pick<Registry, 'self' | 'current' | 'peers' | 'write' | 'storeNowAtLeastMs' | 'storeNowAtMostMs'>
   peers: Pick<Peers, 'ask' | 'handle'>
   logger: Logger
-  /** Time for which a silent host may still work at primaries, in milliseconds. */
+  /** Maximum time that a silent host may still work at primaries, in milliseconds. */
   leaseMs: number
 }
 
 /**
- * Watches the next host until stopped.
+ * Probes the next host until stopped.
  *
  * @param options - the registry and the links to peers
- * @returns stops watching
+ * @returns a function that stops the probes
  */
 export function watchNextHost (options: HostExpiryOptions): () => void {
   const { registry, peers, logger } = options
-  let silent: { name: string, process: string, since: number } | undefined
+  let unanswered: { name: string, process: string, since: number } | undefined
   peers.handle('neighbour', async () => ({}))
 
   const nextHost = (): KnownHost | undefined => {
@@ -59,24 +52,26 @@
     })
     logger.log('warn', 'registry.host-retired', { peer: name, process: host.process, refused, written })
   }
-  const ask = async (): Promise<void> => {
+  const probe = async (): Promise<void> => {
     const host = nextHost()
     if (host === undefined) {
       return
     }
-    const since = silent?.name === host.name && silent.process === host.process ? silent.since : performance.now()
+    const since = unanswered?.name === host.name && unanswered.process === host.process
+      ? unanswered.since
+      : performance.now()
     try {
-      await peers.ask(host, 'neighbour', {}, ANSWER_MS)
-      silent = undefined
+      await peers.ask(host, 'neighbour', {}, PROBE_TIMEOUT_MS)
+      unanswered = undefined
     } catch (thrown) {
-      silent = { name: host.name, process: host.process, since }
+      unanswered = { name: host.name, process: host.process, since }
       logger.log('debug', 'registry.peer-silent', { peer: host.name, reason: describeThrown(thrown) })
-      if (performance.now() - since > SILENT_MS) {
+      if (performance.now() - since > RETIRE_AFTER_MS) {
         await retire(host, isRefusal(thrown))
       }
     }
   }
-  /** Removes the row of a retired host whose leases have expired; the first host in the order of names does it. */
+  /** Removes the row of a retired host whose leases have expired; only the first host in the order of names does so. */
   const removeExpired = async (): Promise<void> => {
     const [expired] = registry.current.hosts.filter(({ retiredUntilMs }) =>
       retiredUntilMs !== undefined && retiredUntilMs < registry.storeNowAtLeastMs())
@@ -87,8 +82,8 @@
       logger.log('info', 'registry.host-removed', { peer: expired.name, removed })
     }
   }
-  return repeat(ASK_MS, async () => {
-    await ask()
+  return repeat(PROBE_INTERVAL_MS, async () => {
+    await probe()
     await removeExpired()
   }, (thrown) => logger.log('debug', 'registry.retire-failed', { reason: describeThrown(thrown) }))
 }
--- a/src/entry/registry/index.ts
+++ b/src/entry/registry/index.ts
@@ -1,7 +1,6 @@
 /**
- * Plug-in `registry`: the rows that entry processes share. It registers this process, keeps the newest snapshot of the
- * table from the hosts that read the store or from the store itself, and publishes what others must know of this host.
- * README.md says which module decides what.
+ * Plug-in `registry`: registers this process in the store, keeps a current snapshot of the registry's table, and
+ * publishes this host's state to its peers. README.md describes the modules.
  */
 import { randomUUID } from 'node:crypto'
 import type { EntrySettings } from '../../core/config/entry-settings.ts'
@@ -10,8 +9,8 @@
 import { repeat } from '../../core/time/repeat.ts'
 import { watchNextHost } from './host-expiry.ts'
 import { EXTENDED_LEASE_MS, LEASE_MARGIN_MS } from './lease-times.ts'
-import { createNudges } from './nudges.ts'
 import { createOwnRow } from './own-row.ts'
+import { createRefreshRequests } from './refresh-requests.ts'
 import { createRegistryState } from './registry-state.ts'
 import { createRegistryStore } from './registry-store.ts'
 import type { Registry } from './service.ts'
@@ -26,9 +25,9 @@
   interface Services { registry: Registry }
 }
 
-/** Age of the snapshot beyond which any peers are asked, in milliseconds: one read has failed. */
-const ASK_ANY_AFTER_MS = 3500
-/** Time between two looks at that age, in milliseconds. */
+/** Age of the snapshot after which any peers are asked for theirs, in milliseconds. */
+const ASK_PEERS_AFTER_MS = 3500
+/** Interval between checks of the snapshot's age, in milliseconds. */
 const AGE_CHECK_MS = 700
 
 registerPlugin({
@@ -41,15 +40,15 @@
     const { logger } = context
     const self = { name: host.name, process: randomUUID() }
     const row = { address: host.address, port: peers.port, failureDomain: host.failureDomain, process: self.process }
-    const answerHeldQuestions = (): void => exchange.changed()
-    const state = createRegistryState({ self, onRowsChanged: answerHeldQuestions })
-    const registryStore = createRegistryStore({ store, state, logger, onLost: answerHeldQuestions })
+    const answerPendingRequests = (): void => exchange.answerPending()
+    const state = createRegistryState({ self, onRowsChanged: answerPendingRequests })
+    const registryStore = createRegistryStore({ store, state, logger, onUnavailable: answerPendingRequests })
     const { refresh, isReading } = registryStore
     const ownRow = createOwnRow({ self, row, store, state, registryStore, logger })
     const exchange = createSnapshotExchange({
       peers, logger, current: () => state.current, isReading, accept: state.accept
     })
-    const nudgePeers = createNudges({ self, peers, state, exchange, refresh, logger })
+    const requestPeerRefresh = createRefreshRequests({ self, peers, state, exchange, refresh, logger })
     const stopRefreshing = keepSnapshotFresh({
       name: self.name,
       current: () => state.current,
@@ -59,28 +58,28 @@
       readAndRegister: async () => await refresh() && await ownRow.register(),
       onError: (thrown) => logger.log('debug', 'registry.register-failed', { reason: describeThrown(thrown) })
     })
-    // Peers that do not answer are logged by the exchange.
-    const stopAskingAny = repeat(AGE_CHECK_MS, async () => {
-      if (performance.now() - state.current.askedAt > ASK_ANY_AFTER_MS) {
-        await exchange.askSome(state.others())
+    // The exchange logs the peers that do not answer.
+    const stopAskingPeers = repeat(AGE_CHECK_MS, async () => {
+      if (performance.now() - state.current.askedAt > ASK_PEERS_AFTER_MS) {
+        await exchange.requestFromSome(state.otherHosts())
       }
     })
     const service: Registry = {
       self,
       get current () { return state.current },
       confirmedAgeMs: state.confirmedAgeMs,
-      peers: state.others,
+      peers: state.otherHosts,
       refresh,
       write: registryStore.write,
       publishStopped: ownRow.publishStopped,
       onChange: state.onChange,
-      onStoreLost: registryStore.onStoreLost,
-      requestPeerRefresh: nudgePeers,
+      onStoreUnavailable: registryStore.onStoreUnavailable,
+      requestPeerRefresh,
       storeNowAtLeastMs: registryStore.storeNowAtLeastMs,
       storeNowAtMostMs: registryStore.storeNowAtMostMs
     }
     const leaseMs = EXTENDED_LEASE_MS + LEASE_MARGIN_MS
-    const stopWatching = watchNextHost({ registry: service, peers, logger, leaseMs })
+    const stopHostExpiry = watchNextHost({ registry: service, peers, logger, leaseMs })
 
     return {
       service,
@@ -90,9 +89,9 @@
       announceStop: () => { void ownRow.publishLeaving() },
       drain: ownRow.unregister,
       close: () => {
-        stopWatching()
+        stopHostExpiry()
         stopRefreshing()
-        stopAskingAny()
+        stopAskingPeers()
       }
     }
   }
--- a/src/entry/registry/lease-times.ts
+++ b/src/entry/registry/lease-times.ts
@@ -1,18 +1,12 @@
-/**
- * How long a confirmation by the registry may be relied on, in milliseconds. Leases on primaries, failovers, and the
- * retirement of hosts all count with these.
- */
+/** Lease durations, in milliseconds, used for leases on primaries, failovers and the retirement of hosts. */
 
 /**
- * Time for which a host goes on working at a primary after a confirmation by the store or an extension by its peers,
- * counted from sending the question. Two reads of the registry fit into it. A shorter one makes a failover quicker
- * while a host is silent, but costs more calls to the store.
+ * Time that a host may work at a primary after a confirmation by the store or an extension by its peers, counted from
+ * sending the request. Covers two reads of the registry. A shorter lease speeds up the failover from a silent host, but
+ * costs more calls to the store.
  */
 export const PRIMARY_LEASE_MS = 3000
-/**
- * Greatest age of the last confirmation by the store with which extensions still count: longer than an ordinary outage
- * of the store, which lasts some seconds.
- */
+/** Maximum age of the last confirmation by the store for which peers extend leases; longer than a usual outage. */
 export const EXTENDED_LEASE_MS = 15_000
-/** What a promoter waits beyond a lease: statements that are sent at its end are aborted within it. */
+/** Extra time that a failover waits after a lease expires, in which statements sent at its end are aborted. */
 export const LEASE_MARGIN_MS = 600
--- a/src/entry/registry/own-row.ts
+++ b/src/entry/registry/own-row.ts
@@ -1,6 +1,6 @@
 /**
- * This host's row in the registry: registers the process, publishes what others must know of it, and removes the row
- * when the process stops. It owns the row's content; the store decides by the row's version whether a write applies.
+ * Manages this host's row in the registry: registers the process, publishes its state, and removes the row when the
+ * process stops. Writes are conditional on the row's version.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -11,13 +11,12 @@
 import type { Registry } from './service.ts'
 import { REGISTRY_TABLE, registryKeys, type HostRow } from './types.ts'
 
-/** Time that a stop waits for this host's row to be removed, in milliseconds. Peers retire the row otherwise. */
+/** Maximum wait for the removal of this host's row, in milliseconds. A row that remains is retired by a peer. */
 const UNREGISTER_MS = 400
 
-/** Options of {@link createOwnRow}. */
 interface OwnRowOptions {
   self: { name: string, process: string }
-  /** The row as it is written first. */
+  /** Initial content of the row. */
   row: HostRow
   store: Pick<StorePort, 'write'>
   state: Pick<RegistryState, 'current' | 'ownHost'>
@@ -25,28 +24,28 @@
   logger: Logger
 }
 
-/** This host's row. */
+/** Operations on this host's row. */
 interface OwnRow extends Pick<Registry, 'publishStopped'> {
-  /** Makes sure that this process is registered; returns whether it is, or need not be. */
+  /** Registers this process; returns false if the attempt failed, and true if it need not be registered. */
   register: () => Promise<boolean>
-  /** Publishes that this process is stopping; a failure is logged. */
+  /** Publishes that this process is stopping; logs a failure. */
   publishLeaving: () => Promise<void>
-  /** Removes the row, and registers no more; waits for a bounded time. */
+  /** Removes the row and prevents a later registration; the wait is bounded. */
   unregister: () => Promise<void>
 }
 
 /**
- * Creates the access to this host's row.
+ * Creates the operations on this host's row.
  *
- * @param options - the row and where it is written
- * @returns the access
+ * @param options - the row and the store that holds it
+ * @returns the operations
  */
 export function createOwnRow ({ self, row, store, state, registryStore, logger }: OwnRowOptions): OwnRow {
   const key = registryKeys.host(self.name)
-  let leaving = false
+  let isStopping = false
 
-  /** Writes the row as it stands; one that is missing is written when this process registers. */
-  const update = async (): Promise<boolean> => {
+  /** Writes the row unless another process has replaced it; a missing row is written by `register`. */
+  const updateRow = async (): Promise<boolean> => {
     const own = state.ownHost()
     if (own?.process !== self.process) {
       return false
@@ -57,7 +56,7 @@
   return {
     register: async () => {
       const own = state.ownHost()
-      if (state.current.version < 0 || leaving || own?.process === self.process) {
+      if (state.current.version < 0 || isStopping || own?.process === self.process) {
         return true
       }
       const written = await store.write({
@@ -70,20 +69,20 @@
     },
     publishStopped: async (group, epoch) => {
       row.stopped = { ...row.stopped, [group]: epoch }
-      const written = await update()
+      const written = await updateRow()
       logger.log('info', 'registry.stop-published', { group, epoch, written })
     },
     publishLeaving: async () => {
       row.leaving = true
       try {
-        const written = await update()
+        const written = await updateRow()
         logger.log('info', 'registry.leaving', { written })
       } catch (thrown) {
         logger.log('warn', 'registry.leaving-not-published', { reason: describeThrown(thrown) })
       }
     },
     unregister: async () => {
-      leaving = true
+      isStopping = true
       const own = state.ownHost()
       if (own?.process !== self.process) {
         return
--- a/src/entry/registry/readers.ts
+++ b/src/entry/registry/readers.ts
@@ -1,122 +1,112 @@
 /**
- * Decides which hosts read the store for all, and in which order any other host asks them.
- *
- * - Inputs: the live hosts with their names and failure domains, and the name of the host that asks.
- * - Rule: hosts are ordered by a hash of their names. One in {@link HOSTS_PER_READER} reads the registry; the same
- *   ones and at least {@link LEAST_FOLLOWERS} follow the tables. With enough of them each failure domain has its own.
- *   A host asks those of its failure domain first, starting at a place by the hash of its name, then the deputies:
- *   followers that read the registry while its readers can't.
- * - Why: calls to the store grow with a fraction of the hosts only, all hosts compute the same without agreement, and
- *   bytes between failure domains are priced.
+ * Selects the hosts that read the store for all others, which keeps the number of calls to the store low. All hosts
+ * compute the same selection from a hash of the host names. Each host first contacts readers in its failure domain,
+ * because traffic between failure domains is charged; followers serve as backup readers.
  */
 import { createHash } from 'node:crypto'
 import type { KnownHost } from './snapshot.ts'
 
-/** Hosts that one reader serves: each asks it 1.3 times a second, with some hundred bytes. */
+/** Number of hosts that one reader of the registry serves. */
 export const HOSTS_PER_READER = 25
 /**
- * Least number of hosts that follow the tables of the store. Open connections may go silent for good, and a question
- * for changes hangs on one for long; when each of eight is hit with a probability of one half, one goes on in 99.6% of
- * all cases, and notifies the others.
+ * Minimum number of hosts that follow the tables of the store. A long poll may hang on a silent connection; with this
+ * many followers, very likely at least one receives a change and notifies the others.
  */
-export const LEAST_FOLLOWERS = 8
+export const MIN_FOLLOWERS = 8
 
-/** Orders in which hosts become readers. */
+/** Orders from which readers and followers are selected. */
 interface ReaderOrders {
-  /** One that all compute alike and that does not follow failure domains. */
-  ordered: KnownHost[]
-  /** The same, after the first host of each failure domain. */
-  spread: KnownHost[]
+  /** By the hash of the name. */
+  byHash: KnownHost[]
+  /** The first host of each failure domain, then the others by the hash of the name. */
+  byDomain: KnownHost[]
   failureDomains: number
 }
 
-/** Orders by the list that they were made from: they are looked up several times in each turn. */
-const orders = new WeakMap<KnownHost[], ReaderOrders>()
+/** Caches the orders by list of hosts, since each turn needs them several times. */
+const cachedOrders = new WeakMap<KnownHost[], ReaderOrders>()
 
 function ordersOf (hosts: KnownHost[]): ReaderOrders {
-  const known = orders.get(hosts) ?? orderHosts(hosts)
-  orders.set(hosts, known)
-  return known
+  const cached = cachedOrders.get(hosts) ?? orderHosts(hosts)
+  cachedOrders.set(hosts, cached)
+  return cached
 }
 
 function orderHosts (hosts: KnownHost[]): ReaderOrders {
-  const ordered = hosts
-    .map((host) => ({ host, place: hashOf(host.name) }))
-    .sort((left, right) => left.place < right.place ? -1 : 1)
+  const byHash = hosts
+    .map((host) => ({ host, hash: hashOf(host.name) }))
+    .sort((left, right) => left.hash < right.hash ? -1 : 1)
     .map(({ host }) => host)
-  const domains = new Set(ordered.map(({ failureDomain }) => failureDomain))
-  const first = [...domains].map((domain) => ordered.find(({ failureDomain }) => failureDomain === domain)!)
-  const spread = [...first, ...ordered.filter((host) => !first.includes(host))]
-  return { ordered, spread, failureDomains: domains.size }
+  const domains = new Set(byHash.map(({ failureDomain }) => failureDomain))
+  const first = [...domains].map((domain) => byHash.find(({ failureDomain }) => failureDomain === domain)!)
+  const byDomain = [...first, ...byHash.filter((host) => !first.includes(host))]
+  return { byHash, byDomain, failureDomains: domains.size }
 }
 
-/**
- * Names the first hosts in the order. With enough of them each failure domain gets its own: bytes between failure
- * domains are paid for.
- */
-function firstOf (hosts: KnownHost[], count: number): KnownHost[] {
-  const { ordered, spread, failureDomains } = ordersOf(hosts)
-  return (count < failureDomains ? ordered : spread).slice(0, count)
+/** Selects the first hosts; if there are enough of them, one for each failure domain. */
+function selectFirst (hosts: KnownHost[], count: number): KnownHost[] {
+  const { byHash, byDomain, failureDomains } = ordersOf(hosts)
+  return (count < failureDomains ? byHash : byDomain).slice(0, count)
 }
 
 /**
- * Names the readers of the registry.
+ * Selects the hosts that read the registry from the store.
  *
  * @param hosts - hosts that are not retired
  * @returns the readers
  */
 export function readersOf (hosts: KnownHost[]): KnownHost[] {
-  return firstOf(hosts, Math.ceil(hosts.length / HOSTS_PER_READER))
+  return selectFirst(hosts, Math.ceil(hosts.length / HOSTS_PER_READER))
 }
 
 /**
- * Names the hosts that follow the tables of the store; the readers are among them.
+ * Selects the hosts that follow the tables of the store. They include the readers.
  *
  * @param hosts - hosts that are not retired
- * @returns these hosts
+ * @returns the followers
  */
 export function followersOf (hosts: KnownHost[]): KnownHost[] {
-  return firstOf(hosts, Math.min(hosts.length, Math.max(LEAST_FOLLOWERS, Math.ceil(hosts.length / HOSTS_PER_READER))))
+  return selectFirst(hosts, Math.min(hosts.length, Math.max(MIN_FOLLOWERS, Math.ceil(hosts.length / HOSTS_PER_READER))))
 }
 
 /**
- * Orders the hosts that a host asks for what they have read: its own one first, which is in its failure domain where
- * there is one, then the others. The host itself comes first when it reads the store.
+ * Orders the hosts that read the store by the preference of one host: itself, those in its failure domain, the others.
+ * The hash of its name determines where it starts in each group, which spreads the load.
  *
- * @param name - the host
+ * @param name - name of the host
  * @param hosts - hosts that are not retired
- * @param serving - those of them that read the store
- * @returns these, in the order in which they are asked
+ * @param servers - those of `hosts` that read the store
+ * @returns `servers`, ordered by preference
  */
-export function orderFor (name: string, hosts: KnownHost[], serving: KnownHost[]): KnownHost[] {
+export function orderFor (name: string, hosts: KnownHost[], servers: KnownHost[]): KnownHost[] {
   const domain = hosts.find((host) => host.name === name)?.failureDomain
-  const rotated = (group: KnownHost[]): KnownHost[] => {
-    const place = placeOf(name, group.length)
-    return [...group.slice(place), ...group.slice(0, place)]
+  const rotate = (group: KnownHost[]): KnownHost[] => {
+    const offset = offsetOf(name, group.length)
+    return [...group.slice(offset), ...group.slice(0, offset)]
   }
-  const others = serving.filter((host) => host.name !== name)
-  const own = serving.filter((host) => host.name === name)
-  const isNear = ({ failureDomain }: KnownHost): boolean => failureDomain === domain
-  return [...own, ...rotated(others.filter(isNear)), ...rotated(others.filter((host) => !isNear(host)))]
+  const others = servers.filter((host) => host.name !== name)
+  const self = servers.filter((host) => host.name === name)
+  const isSameDomain = ({ failureDomain }: KnownHost): boolean => failureDomain === domain
+  return [...self, ...rotate(others.filter(isSameDomain)), ...rotate(others.filter((host) => !isSameDomain(host)))]
 }
 
 /**
- * Orders the hosts that a host asks for the registry: the readers, then their deputies. Deputies are followers that
- * read when readers can't. A deputy asks only those before itself, so that one reads for all, unless the store rejects
- * it: it then reads for nobody.
+ * Orders the hosts from which a host requests the registry: the readers, then the followers as backup readers. A backup
+ * reader contacts only those before it, so that only one of them reads the store. If the store rejects it, it contacts
+ * all of them.
  *
- * @param name - the host
+ * @param name - name of the host
  * @param hosts - hosts that are not retired
- * @param isRejected - whether the store has rejected the last read of this host
- * @returns the others that may have read the registry, in the order in which they are asked
+ * @param isRejected - whether the store has rejected the host's last read
+ * @returns the other hosts, ordered by preference
  */
 export function registrySourcesFor (name: string, hosts: KnownHost[], isRejected: boolean): KnownHost[] {
   const readers = readersOf(hosts)
   const followers = followersOf(hosts)
-  const place = followers.findIndex((host) => host.name === name)
+  const index = followers.findIndex((host) => host.name === name)
   const isReader = readers.some((reader) => reader.name === name)
-  const deputies = isRejected || isReader || place < 0 ? followers : followers.slice(0, place)
-  const sources = [...orderFor(name, hosts, readers), ...deputies]
+  const backups = isRejected || isReader || index < 0 ? followers : followers.slice(0, index)
+  const sources = [...orderFor(name, hosts, readers), ...backups]
   return [...new Set(sources)].filter((source) => source.name !== name)
 }
 
@@ -124,7 +114,7 @@
   return createHash('sha256').update(name).digest('hex')
 }
 
-/** Spreads names evenly over a number of places. */
-function placeOf (name: string, places: number): number {
-  return places === 0 ? 0 : Number.parseInt(hashOf(name).slice(0, 8), 16) % places
+/** Maps a name to an offset, evenly distributed. */
+function offsetOf (name: string, count: number): number {
+  return count === 0 ? 0 : Number.parseInt(hashOf(name).slice(0, 8), 16) % count
 }
--- a/src/entry/registry/recent-failures.ts
+++ b/src/entry/registry/recent-failures.ts
@@ -1,32 +1,26 @@
-/** Remembers hosts that returned no result recently, so that others are asked before them. */
+/** Tracks hosts that failed to answer recently, so that other hosts are asked before them. */
 import type { KnownHost } from './snapshot.ts'
 
-/** Time for which a host that failed is asked after the others, in milliseconds: a restart takes less. */
-const REMEMBER_MS = 2000
+/** Time for which a failure counts, in milliseconds; longer than a restart takes. */
+const FAILURE_TTL_MS = 2000
 
-/** Hosts that failed recently. */
 interface RecentFailures {
-  /** Records that a host returned no result. */
+  /** Records that a host failed to answer. */
   record: (host: KnownHost) => void
   /**
-   * Orders hosts.
+   * Moves the hosts that failed recently to the end.
    *
-   * @param hosts - the hosts, the best first
-   * @returns the same, those that failed recently at the end
+   * @param hosts - the hosts in order of preference
+   * @returns the reordered hosts
    */
-  order: (hosts: KnownHost[]) => KnownHost[]
+  sortFailedLast: (hosts: KnownHost[]) => KnownHost[]
 }
 
-/**
- * Creates the memory, which is empty.
- *
- * @returns the memory
- */
 export function createRecentFailures (): RecentFailures {
-  const until = new Map<string, number>()
-  const hasFailed = ({ name }: KnownHost): boolean => (until.get(name) ?? 0) > performance.now()
+  const failedUntil = new Map<string, number>()
+  const hasFailedRecently = ({ name }: KnownHost): boolean => (failedUntil.get(name) ?? 0) > performance.now()
   return {
-    record: ({ name }) => { until.set(name, performance.now() + REMEMBER_MS) },
-    order: (hosts) => [...hosts.filter((host) => !hasFailed(host)), ...hosts.filter(hasFailed)]
+    record: ({ name }) => { failedUntil.set(name, performance.now() + FAILURE_TTL_MS) },
+    sortFailedLast: (hosts) => [...hosts.filter((host) => !hasFailedRecently(host)), ...hosts.filter(hasFailedRecently)]
   }
 }
--- a/src/entry/registry/registry-state.ts
+++ b/src/entry/registry/registry-state.ts
@@ -1,47 +1,42 @@
-/**
- * The newest snapshot of the registry on this host, and when it last confirmed that this process is registered. It
- * owns both and calls listeners after each change; it knows nothing of how snapshots arrive.
- */
-import { UNKNOWN_REGISTRY, type KnownHost, type RegistrySnapshot } from './snapshot.ts'
+/** Holds this host's newest snapshot of the registry and the time when it last showed this process as registered. */
+import { EMPTY_SNAPSHOT, type KnownHost, type RegistrySnapshot } from './snapshot.ts'
 
-/** Options of {@link createRegistryState}. */
 interface RegistryStateOptions {
   self: { name: string, process: string }
-  /** Called after the listeners when the rows themselves have changed. */
+  /** Called after the listeners if the rows have changed. */
   onRowsChanged: () => void
 }
 
-/** What this host knows of the registry. */
+/** This host's view of the registry. */
 export interface RegistryState {
   readonly current: RegistrySnapshot
-  /** Time since the question was sent whose answer showed this process as registered, in milliseconds. */
+  /** Age of the last confirmation that this process is registered, in milliseconds, counted from the request. */
   confirmedAgeMs: () => number
-  /** This host's row, whichever process wrote it; undefined when there is none. */
+  /** This host's row, written by any of its processes; undefined if there is none. */
   ownHost: () => KnownHost | undefined
-  /** Other hosts that are registered and not retired. */
-  others: () => KnownHost[]
-  /** Replaces the snapshot by one that is newer, or as new and confirmed later; ignores any other. */
+  otherHosts: () => KnownHost[]
+  /** Replaces the snapshot; ignores one of a lower version, or of the same version and an earlier request time. */
   accept: (snapshot: RegistrySnapshot) => void
-  /** Calls back after each accepted snapshot. */
+  /** Adds a listener that is called after each accepted snapshot. */
   onChange: (listener: () => void) => void
 }
 
 /**
- * Creates the state of a host that knows nothing yet.
+ * Creates the state with an empty snapshot.
  *
- * @param options - this process, and who is notified of changed rows
+ * @param options - this process and the callback for changed rows
  * @returns the state
  */
 export function createRegistryState ({ self, onRowsChanged }: RegistryStateOptions): RegistryState {
   const listeners: Array<() => void> = []
-  let current = UNKNOWN_REGISTRY
+  let current = EMPTY_SNAPSHOT
   let confirmedAt = -Infinity
 
   return {
     get current () { return current },
     confirmedAgeMs: () => performance.now() - confirmedAt,
     ownHost: () => current.hosts.find(({ name }) => name === self.name),
-    others: () => current.liveHosts.filter(({ name }) => name !== self.name),
+    otherHosts: () => current.liveHosts.filter(({ name }) => name !== self.name),
     accept: (snapshot) => {
       const isOlder = snapshot.version === current.version && snapshot.askedAt < current.askedAt
       if (snapshot.version < current.version || isOlder) {
--- a/src/entry/registry/registry-store.ts
+++ b/src/entry/registry/registry-store.ts
@@ -1,6 +1,6 @@
 /**
- * Reads and writes the registry's table in the store. It owns what only the store's answers show: whether the store
- * answers this host, when it last did, and how far its clock is from this host's steady clock.
+ * Reads and writes the registry's table in the store, and tracks from the answers whether the store is available and
+ * how far its clock is from this host's monotonic clock.
  */
 import { describeThrown, WorkswardError } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -11,71 +11,66 @@
 import { createSnapshot } from './snapshot.ts'
 import { REGISTRY_TABLE } from './types.ts'
 
+/** Maximum age of this host's last read for which peers may rely on its snapshot, in milliseconds: two reads. */
+const MAX_READ_AGE_MS = 1600
 /**
- * Age of the last answer of the store to a host up to which it counts as one that reads for others, in milliseconds:
- * two reads. What it has got from another host would be too old for the next one.
+ * Bounds of a write's timeout, in milliseconds, and its multiple of the last read's duration. After a timeout the table
+ * is read to find out whether the write was applied, which is faster than to wait longer.
  */
-const READING_MS = 1600
-/**
- * Time that a write has to be answered, in milliseconds: a fixed part and a multiple of what the last read took. A
- * write takes twice as long as a read. Without an answer the table is read to see whether the write was applied, which
- * is quicker than to wait.
- */
-const WRITE_WAIT_MS = { least: 300, perRead: 5, greatest: 1500 } as const
+const WRITE_TIMEOUT_MS = { min: 300, perRead: 5, max: 1500 } as const
 
-/** Options of {@link createRegistryStore}. */
 interface RegistryStoreOptions {
   store: Pick<StorePort, 'list' | 'write'>
   state: Pick<RegistryState, 'current' | 'accept' | 'confirmedAgeMs'>
   logger: Logger
-  /** Called after the listeners when the store has stopped answering. */
-  onLost: () => void
+  /** Called after the listeners when the store stops answering. */
+  onUnavailable: () => void
 }
 
-/** The registry's table in the store, with what its answers show. */
+/** Access to the registry's table, and what its answers show of the store. */
 export interface RegistryStore extends
-  Pick<Registry, 'refresh' | 'write' | 'onStoreLost' | 'storeNowAtLeastMs' | 'storeNowAtMostMs'> {
-  /** Whether others may rely on what this host reads. */
+  Pick<Registry, 'refresh' | 'write' | 'onStoreUnavailable' | 'storeNowAtLeastMs' | 'storeNowAtMostMs'> {
+  /** Whether peers may rely on this host's reads. */
   isReading: () => boolean
 }
 
 /**
- * How long a write may take before the table is read instead of waiting on.
+ * Computes the timeout of a write.
  *
- * @param readMs - time that the last read took, in milliseconds
+ * @param readMs - duration of the last read, in milliseconds
  * @returns the timeout, in milliseconds
  */
 export function writeTimeoutMs (readMs: number): number {
-  return Math.min(WRITE_WAIT_MS.greatest, WRITE_WAIT_MS.least + WRITE_WAIT_MS.perRead * readMs)
+  return Math.min(WRITE_TIMEOUT_MS.max, WRITE_TIMEOUT_MS.min + WRITE_TIMEOUT_MS.perRead * readMs)
 }
 
 /**
- * Creates the access to the table.
+ * Creates the access to the registry's table.
  *
  * @param options - the store, and the state that each read updates
  * @returns the access
  */
-export function createRegistryStore ({ store, state, logger, onLost }: RegistryStoreOptions): RegistryStore {
-  const lostListeners: Array<() => void> = []
-  let storeAnswers = true
-  /** The store's clock less the steady clock, in milliseconds: the least and the most it can be. */
-  let clockOffsets = { least: 0, most: 0 }
-  /** Time that the last read took, in milliseconds. */
+export function createRegistryStore ({ store, state, logger, onUnavailable }: RegistryStoreOptions): RegistryStore {
+  const unavailableListeners: Array<() => void> = []
+  let isAvailable = true
+  /** Bounds of the offset from the monotonic clock to the store's clock, in milliseconds. */
+  let clockOffsets = { min: 0, max: 0 }
+  /** Duration of the last read, in milliseconds. */
   let readMs = 0
-  /** When the store last answered a read, on the steady clock. */
-  let readAt = -Infinity
-  let reading: Promise<boolean> | undefined
+  /** Time of the last successful read, on the monotonic clock. */
+  let lastReadAt = -Infinity
+  let readInProgress: Promise<boolean> | undefined
 
-  const recordStore = (answers: boolean, reason?: string): void => {
-    if (answers === storeAnswers) {
+  const recordAvailability = (answered: boolean, reason?: string): void => {
+    if (answered === isAvailable) {
       return
     }
-    storeAnswers = answers
-    if (!answers) {
-      lostListeners.forEach((listener) => listener())
-      onLost()
+    isAvailable = answered
+    if (!answered) {
+      unavailableListeners.forEach((listener) => listener())
+      onUnavailable()
     }
-    logger.log(answers ? 'info' : 'warn', answers ? 'store.regained' : 'store.lost', {
+    logger.log(answered ? 'info' : 'warn', answered ? 'store.regained' : 'store.lost', {
       reason, confirmedAgeMs: Math.round(state.confirmedAgeMs()), version: state.current.version
     })
   }
@@ -83,40 +78,40 @@
     const askedAt = performance.now()
     try {
       const { rows, version, nowMs } = await store.list(REGISTRY_TABLE)
-      readAt = performance.now()
-      readMs = readAt - askedAt
-      clockOffsets = { least: nowMs - performance.now(), most: nowMs - askedAt }
-      recordStore(true)
+      lastReadAt = performance.now()
+      readMs = lastReadAt - askedAt
+      clockOffsets = { min: nowMs - performance.now(), max: nowMs - askedAt }
+      recordAvailability(true)
       state.accept(createSnapshot(rows, version, askedAt, state.current))
       return true
     } catch (thrown) {
-      recordStore(false, describeThrown(thrown))
+      recordAvailability(false, describeThrown(thrown))
       return false
     }
   }
-  /** Reads the table; requests that arrive during a read share it. */
+  /** Reads the table; concurrent callers share one read. */
   const refresh = async (): Promise<boolean> => {
-    reading ??= read().finally(() => { reading = undefined })
-    return await reading
+    readInProgress ??= read().finally(() => { readInProgress = undefined })
+    return await readInProgress
   }
   const write: Registry['write'] = async (transaction) => {
-    const waitMs = writeTimeoutMs(readMs)
-    const applied = await within(store.write({ ...transaction, table: REGISTRY_TABLE }), waitMs)
+    const timeoutMs = writeTimeoutMs(readMs)
+    const applied = await within(store.write({ ...transaction, table: REGISTRY_TABLE }), timeoutMs)
     if (applied === TIMED_OUT) {
-      const reason = `no answer in ${Math.round(waitMs)} ms`
+      const reason = `no answer in ${Math.round(timeoutMs)} ms`
       throw new WorkswardError('PlatformUnavailable', { operation: 'write', reason })
     }
-    // A read that was in progress may not show the write yet.
-    await reading
+    // A read that was already in progress may not include the write.
+    await readInProgress
     await refresh()
     return applied
   }
   return {
     refresh,
     write,
-    isReading: () => storeAnswers && performance.now() - readAt < READING_MS,
-    onStoreLost: (listener) => { lostListeners.push(listener) },
-    storeNowAtLeastMs: () => performance.now() + clockOffsets.least,
-    storeNowAtMostMs: () => performance.now() + clockOffsets.most
+    isReading: () => isAvailable && performance.now() - lastReadAt < MAX_READ_AGE_MS,
+    onStoreUnavailable: (listener) => { unavailableListeners.push(listener) },
+    storeNowAtLeastMs: () => performance.now() + clockOffsets.min,
+    storeNowAtMostMs: () => performance.now() + clockOffsets.max
   }
 }
--- a/src/entry/registry/service.ts
+++ b/src/entry/registry/service.ts
@@ -1,44 +1,42 @@
-/** What the plug-in `registry` offers. */
+/** Interface of the plug-in `registry`. */
 import type { StoreTransaction } from '../ports/index.ts'
 import type { KnownHost, RegistrySnapshot } from './snapshot.ts'
 
-/** Service of the plug-in. */
 export interface Registry {
   readonly self: { name: string, process: string }
-  /** The newest snapshot. */
   readonly current: RegistrySnapshot
-  /** Time since the question was sent whose answer showed this process as registered, in milliseconds. */
+  /** Age of the last confirmation that this process is registered, in milliseconds, counted from the request. */
   confirmedAgeMs: () => number
   /** Other hosts that are registered and not retired. */
   peers: () => KnownHost[]
   /**
-   * Reads the table now.
+   * Reads the table from the store.
    *
    * @returns whether the store answered
    */
   refresh: () => Promise<boolean>
   /**
-   * Writes rows of the table under conditions, and reads it again.
+   * Writes rows if the expected versions match, and reads the table again.
    *
-   * @returns whether the conditions held
+   * @returns whether the versions matched
    * @throws WorkswardError `PlatformUnavailable`; the rows may have been written
    */
   write: (transaction: Omit<StoreTransaction, 'table'>) => Promise<boolean>
   /**
-   * Writes into this host's row that it has stopped working at a group's primary, for peers that cannot ask it.
+   * Publishes in this host's row that it has stopped working at a group's primary, for peers that cannot reach it.
    *
    * @param group - the group
-   * @param epoch - the epoch that is closed here, with all before it
+   * @param epoch - newest epoch closed on this host; earlier ones are closed too
    */
   publishStopped: (group: string, epoch: number) => Promise<void>
-  /** Calls back after each new snapshot. */
+  /** Adds a listener that is called after each accepted snapshot. */
   onChange: (listener: () => void) => void
-  /** Calls back when the store has stopped answering this host. */
-  onStoreLost: (listener: () => void) => void
-  /** Asks peers to read the table now. */
+  /** Adds a listener that is called when the store stops answering this host. */
+  onStoreUnavailable: (listener: () => void) => void
+  /** Requests that the followers refresh their snapshots; does not wait for them. */
   requestPeerRefresh: () => void
-  /** Time of the store's clock now, as the least it can be, in milliseconds. */
+  /** Lower bound of the current time on the store's clock, in milliseconds. */
   storeNowAtLeastMs: () => number
-  /** Time of the store's clock now, as the most it can be, in milliseconds. */
+  /** Upper bound of the current time on the store's clock, in milliseconds. */
   storeNowAtMostMs: () => number
 }
--- a/src/entry/registry/snapshot-exchange.ts
+++ b/src/entry/registry/snapshot-exchange.ts
@@ -1,6 +1,6 @@
 /**
- * Passes the registry on between hosts by long poll, with its age, so that few hosts read it from the store. An answer
- * carries only the rows that have changed since the snapshot that the requester names.
+ * Exchanges snapshots of the registry between hosts by long poll, so that few hosts read the store. Responses contain
+ * only changed rows and the age of the snapshot.
  */
 import type * as z from 'zod'
 import { describeThrown } from '../../core/errors/index.ts'
@@ -8,76 +8,73 @@
 import { createWaiters } from '../../core/time/waiters.ts'
 import type { Peers } from '../../peers/index.ts'
 import { createSnapshot, type KnownHost, type RegistrySnapshot } from './snapshot.ts'
-import { snapshotReplySchema, snapshotQuestionSchema, type SnapshotReply } from './types.ts'
+import { snapshotReplySchema, snapshotRequestSchema, type SnapshotReply } from './types.ts'
 
-/** Time a reader has to answer, in milliseconds; then the requester asks the next one. */
-const READER_MS = 300
+/** Time that a reader has to respond beyond the long poll, in milliseconds. */
+const READER_TIMEOUT_MS = 300
 /**
- * Time for which a reader holds a question while nothing changes, in milliseconds: so all hosts learn of a change as
- * soon as their readers do. A silent reader is noticed after this and {@link READER_MS}, two of them within a lease.
+ * Time that a reader holds a request while nothing changes, in milliseconds. Short enough to notice two silent readers
+ * within one lease.
  */
-const HOLD_MS = 400
-/** Time any other peer has to answer, in milliseconds. */
+const LONG_POLL_MS = 400
+/** Time that any other peer has to respond, in milliseconds. */
 const PEER_TIMEOUT_MS = 600
-/** Peers asked in one round. */
-const PEERS_ASKED = 3
+const PEERS_PER_ROUND = 3
 
-/** Options of {@link createSnapshotExchange}. */
 interface SnapshotExchangeOptions {
   peers: Pick<Peers, 'ask' | 'handle'>
   logger: Logger
   current: () => RegistrySnapshot
-  /** Whether this host reads the registry from the store, and gets it. */
+  /** Whether this host reads the registry from the store successfully. */
   isReading: () => boolean
   accept: (snapshot: RegistrySnapshot) => void
 }
 
-/** Fetches the registry as peers know it, and serves this host's snapshot. */
+/** Requests snapshots from peers, and serves this host's snapshot. */
 export interface SnapshotExchange {
-  /** The snapshot, or whether this host reads, has changed: held questions are answered. */
-  changed: () => void
+  /** Answers pending requests after a change of the snapshot or of `isReading`. */
+  answerPending: () => void
   /**
-   * Asks a host that may read for this one.
+   * Requests the snapshot of a reader.
    *
    * @param reader - the host
-   * @param mayHold - whether it may hold the question until it knows more
-   * @returns whether it does read
+   * @param allowLongPoll - whether the reader may hold the request until its snapshot changes
+   * @returns whether the host responded and reads the store
    */
-  askReader: (reader: KnownHost, mayHold: boolean) => Promise<boolean>
-  /** Asks the host that has written a row; returns whether its answer was newer than the snapshot here. */
-  askWriter: (peer: KnownHost) => Promise<boolean>
-  /** Asks some of the peers, others in each round. */
-  askSome: (peers: KnownHost[]) => Promise<void>
+  requestFromReader: (reader: KnownHost, allowLongPoll: boolean) => Promise<boolean>
+  /** Requests the snapshot of a host that has written a row; returns whether it was newer than this host's. */
+  requestFromWriter: (peer: KnownHost) => Promise<boolean>
+  /** Requests the snapshots of some of the peers, in rotation. */
+  requestFromSome: (peers: KnownHost[]) => Promise<void>
 }
 
 /**
- * Builds the snapshot that a peer has sent: bytes between failure domains are paid for, and a table of 71 hosts has
- * 14 KB, so only what has changed is passed on.
+ * Builds a snapshot from a peer's response, which may contain only changed rows.
  *
- * @param before - what this host had when it asked
- * @param reply - the peer's answer
- * @param askedAt - when it was asked, on the steady clock
- * @returns the snapshot; undefined when it cannot be built from this
+ * @param previous - this host's snapshot when it sent the request
+ * @param reply - the response
+ * @param askedAt - time of the request, on the monotonic clock
+ * @returns the snapshot; undefined if the digests differ after the merge
  */
 export function mergeSnapshotReply (
-  before: RegistrySnapshot, { version, rows, digest, ageMs, isChange = false }: SnapshotReply, askedAt: number
+  previous: RegistrySnapshot, { version, rows, digest, ageMs, isChange = false }: SnapshotReply, askedAt: number
 ): RegistrySnapshot | undefined {
   if (rows === undefined) {
-    return digest === before.digest ? { ...before, version, askedAt: askedAt - ageMs } : undefined
+    return digest === previous.digest ? { ...previous, version, askedAt: askedAt - ageMs } : undefined
   }
   if (!isChange) {
-    return createSnapshot(rows, version, askedAt - ageMs, before)
+    return createSnapshot(rows, version, askedAt - ageMs, previous)
   }
-  const byKey = new Map([...before.rows, ...rows].map((row) => [row.key, row]))
+  const byKey = new Map([...previous.rows, ...rows].map((row) => [row.key, row]))
   const ordered = [...byKey.values()].sort((left, right) => left.key < right.key ? -1 : 1)
-  const merged = createSnapshot(ordered, version, askedAt - ageMs, before)
+  const merged = createSnapshot(ordered, version, askedAt - ageMs, previous)
   return merged.digest === digest ? merged : undefined
 }
 
 /**
- * Creates the exchange, and answers the questions of peers.
+ * Creates the exchange, and handles the requests of peers.
  *
- * @param options - the links, and what this host knows
+ * @param options - the links, and access to this host's snapshot
  * @returns the exchange
  */
 export function createSnapshotExchange (options: SnapshotExchangeOptions): SnapshotExchange {
@@ -86,41 +83,44 @@
   const waiters = createWaiters()
 
   peers.handle('registry-snapshot', async (body): Promise<SnapshotReply> => {
-    const { digest: known, version: since, holdMs = 0 } = snapshotQuestionSchema.parse(body)
-    const hasNewer = (): boolean => current().digest !== known && current().version >= (since ?? 0)
-    await waiters.until(() => hasNewer() || !isReading() || undefined, Math.min(HOLD_MS, holdMs))
+    const { digest: knownDigest, version: sinceVersion, holdMs = 0 } = snapshotRequestSchema.parse(body)
+    const hasNewer = (): boolean =>
+      current().digest !== knownDigest && current().version >= (sinceVersion ?? 0)
+    await waiters.until(() => hasNewer() || !isReading() || undefined, Math.min(LONG_POLL_MS, holdMs))
     const { version, rows, digest, askedAt } = current()
-    if (since !== undefined && since > version) {
+    if (sinceVersion !== undefined && sinceVersion > version) {
       return { version, digest, ageMs: performance.now() - askedAt, isReading: isReading() }
     }
-    const isChange = since !== undefined && since >= 0 && since <= version
+    const isChange = sinceVersion !== undefined && sinceVersion >= 0 && sinceVersion <= version
     return {
       version,
       digest,
-      ...known !== digest && { isChange, rows: isChange ? rows.filter((row) => row.version > since) : rows },
+      ...knownDigest !== digest && {
+        isChange, rows: isChange ? rows.filter((row) => row.version > sinceVersion) : rows
+      },
       ageMs: version < 0 ? Number.MAX_SAFE_INTEGER : performance.now() - askedAt,
       isReading: isReading()
     }
   })
-  const ask = async (peer: KnownHost, timeoutMs: number, holdMs = 0): Promise<boolean> => {
-    // The answer is made after this moment, so counting its age from here never underestimates it.
+  const requestSnapshot = async (peer: KnownHost, timeoutMs: number, holdMs = 0): Promise<boolean> => {
+    // Counts the age from the time of the request, which never underestimates it.
     const askedAt = performance.now()
-    const before = current()
-    const askWith = async (question: z.infer<typeof snapshotQuestionSchema>): Promise<SnapshotReply> =>
-      snapshotReplySchema.parse(await peers.ask(peer, 'registry-snapshot', question, timeoutMs + holdMs))
+    const previous = current()
+    const sendRequest = async (request: z.infer<typeof snapshotRequestSchema>): Promise<SnapshotReply> =>
+      snapshotReplySchema.parse(await peers.ask(peer, 'registry-snapshot', request, timeoutMs + holdMs))
     try {
-      const reply = await askWith({ digest: before.digest, version: before.version, holdMs })
-      if (reply.version < before.version) {
+      const reply = await sendRequest({ digest: previous.digest, version: previous.version, holdMs })
+      if (reply.version < previous.version) {
         return reply.isReading
       }
-      const merged = mergeSnapshotReply(before, reply, askedAt)
+      const merged = mergeSnapshotReply(previous, reply, askedAt)
       if (merged !== undefined) {
         accept(merged)
         return reply.isReading
       }
-      // Rows were removed; a change does not name them.
-      const { rows = [], version, ageMs } = await askWith({})
-      accept(createSnapshot(rows, version, askedAt - ageMs, before))
+      // Rows were removed, which a partial response does not show; requests all rows.
+      const { rows = [], version, ageMs } = await sendRequest({})
+      accept(createSnapshot(rows, version, askedAt - ageMs, previous))
       return reply.isReading
     } catch (thrown) {
       logger.log('debug', 'registry.peer-silent', { peer: peer.name, reason: describeThrown(thrown) })
@@ -128,19 +128,22 @@
     }
   }
   return {
-    changed: waiters.notify,
-    askReader: async (reader, mayHold) => await ask(reader, READER_MS, mayHold ? HOLD_MS : 0),
-    askWriter: async (peer) => {
-      const before = current().version
-      await ask(peer, READER_MS)
-      return current().version > before
+    answerPending: waiters.notify,
+    requestFromReader: async (reader, allowLongPoll) =>
+      await requestSnapshot(reader, READER_TIMEOUT_MS, allowLongPoll ? LONG_POLL_MS : 0),
+    requestFromWriter: async (peer) => {
+      const previous = current().version
+      await requestSnapshot(peer, READER_TIMEOUT_MS)
+      return current().version > previous
     },
-    askSome: async (all) => {
-      const asked = all.length <= PEERS_ASKED
-        ? all
-        : Array.from({ length: PEERS_ASKED }, (_, index) => all[(round * PEERS_ASKED + index) % all.length]!)
+    requestFromSome: async (hosts) => {
+      const selected = hosts.length <= PEERS_PER_ROUND
+        ? hosts
+        : Array.from(
+          { length: PEERS_PER_ROUND }, (_, index) => hosts[(round * PEERS_PER_ROUND + index) % hosts.length]!
+        )
       round++
-      await Promise.all(asked.map(async (peer) => await ask(peer, PEER_TIMEOUT_MS)))
+      await Promise.all(selected.map(async (peer) => await requestSnapshot(peer, PEER_TIMEOUT_MS)))
     }
   }
 }
--- a/src/entry/registry/snapshot-refresh.ts
+++ b/src/entry/registry/snapshot-refresh.ts
@@ -1,14 +1,7 @@
 /**
- * Decides from whom this host gets the registry next, and when: from the hosts that read it for others, or from the
- * store.
- *
- * - Inputs: whether this host is a reader or a deputy (by the order of followers), the ages of its snapshot and of its
- *   confirmation (milliseconds), when it last read the store, and which hosts failed to answer recently.
- * - Rule: a reader reads the store; while the store rejects it, it asks others. Any other host asks up to
- *   {@link READERS_ASKED} readers and deputies (`readers.ts`), and reads the store only when none returns a young
- *   snapshot.
- * - Why: each host needs a confirmation within each lease, but calls to the store are priced, and hosts that the store
- *   rejects must keep their leases without asking a majority for extensions.
+ * Refreshes the registry's snapshot. Readers read the store, and request the snapshot from other hosts while the store
+ * rejects them. All other hosts request it from up to {@link READERS_PER_TURN} readers and backup readers, and read the
+ * store only if none has a fresh one. This saves calls to the store, and keeps the leases of hosts that it rejects.
  */
 import { pause } from '../../core/time/deadline.ts'
 import { repeat } from '../../core/time/repeat.ts'
@@ -17,40 +10,34 @@
 import type { SnapshotExchange } from './snapshot-exchange.ts'
 import type { KnownHost, RegistrySnapshot } from './snapshot.ts'
 
-/**
- * Time between two reads of the table by a reader, in milliseconds. What it has read just before its next turn, and a
- * host received just before its own, is less than two thirds of a lease old.
- */
+/** Interval between a reader's reads of the store, in milliseconds; keeps relayed snapshots younger than a lease. */
 export const POLL_MS = 750
-/** Pause between two questions to a reader, in milliseconds, which holds each. */
-const ASK_PAUSE_MS = 150
-/**
- * Age of the snapshot up to which a reader may hold the question, in milliseconds; an older one is refreshed at once.
- */
-const HELD_AGE_MS = 1000
-/** Pause after no host had a young snapshot, in milliseconds: a deputy begins to read meanwhile. */
+/** Pause between requests to a reader, in milliseconds. */
+const REQUEST_PAUSE_MS = 150
+/** Maximum age of the snapshot for which a reader may hold the request, in milliseconds. */
+const MAX_LONG_POLL_AGE_MS = 1000
+/** Pause after no host had a fresh snapshot, in milliseconds; lets a backup reader start to read. */
 const FAILURE_PAUSE_MS = 300
-/** Greatest useful age of a snapshot, in milliseconds; a host that gets an older one asks the next. */
-const RELAYED_AGE_MS = 1900
-/** Readers that are asked in one turn: each may be silent for 0.3 s, and a lease lasts for three seconds. */
-const READERS_ASKED = 3
+/** Maximum age of a relayed snapshot, in milliseconds; for an older one the next host is tried. */
+const MAX_RELAYED_AGE_MS = 1900
+/** Hosts tried in one turn; all of their timeouts must fit into a lease. */
+const READERS_PER_TURN = 3
 /**
- * Least time between two reads of a host that follows no table, in milliseconds: when the store is away for all, those
- * that do notice its return.
+ * Minimum interval between store reads by a host that is not a follower, in milliseconds. During an outage of the store
+ * the followers detect its recovery.
  */
-const OWN_READ_PAUSE_MS = 2000
-/** Least time between two reads of a host that reads for others, in milliseconds. */
-const READ_PAUSE_MS = POLL_MS - ASK_PAUSE_MS
+const FALLBACK_READ_INTERVAL_MS = 2000
+/** Minimum interval between store reads by a reader or a follower, in milliseconds. */
+const READ_INTERVAL_MS = POLL_MS - REQUEST_PAUSE_MS
 
-/** Options of {@link keepSnapshotFresh}. */
 interface RefreshOptions {
   name: string
   current: () => RegistrySnapshot
-  /** Time since this process was last confirmed as registered, in milliseconds. */
+  /** Age of the last confirmation that this process is registered, in milliseconds. */
   confirmedAgeMs: () => number
-  /** Greatest age of a confirmation with which this process counts as registered, in milliseconds. */
+  /** Maximum age of a confirmation for which this process counts as registered, in milliseconds. */
   registeredMs: number
-  exchange: Pick<SnapshotExchange, 'askReader'>
+  exchange: Pick<SnapshotExchange, 'requestFromReader'>
   /** Reads the store and registers this process; returns whether both succeeded. */
   readAndRegister: () => Promise<boolean>
   onError: (thrown: unknown) => void
@@ -59,8 +46,8 @@
 /**
  * Refreshes the snapshot until stopped.
  *
- * @param options - what is known, and how it is refreshed
- * @returns stops refreshing
+ * @param options - access to the snapshot, and the ways to refresh it
+ * @returns a function that stops refreshing
  */
 export function keepSnapshotFresh (options: RefreshOptions): () => void {
   const { name, current, confirmedAgeMs, registeredMs, exchange, readAndRegister } = options
@@ -69,51 +56,51 @@
   const isReader = (): boolean => readersOf(current().liveHosts).some((reader) => reader.name === name)
   const isFollower = (): boolean => followersOf(current().liveHosts).some((follower) => follower.name === name)
   const ageMs = (): number => performance.now() - current().askedAt
-  const isYoung = (): boolean => ageMs() < RELAYED_AGE_MS && confirmedAgeMs() < RELAYED_AGE_MS
-  let ownReadAt = -Infinity
+  const isFresh = (): boolean => ageMs() < MAX_RELAYED_AGE_MS && confirmedAgeMs() < MAX_RELAYED_AGE_MS
+  let lastStoreReadAt = -Infinity
   let isRejected = false
-  /** The hosts that are asked in this turn; recent failures come last. */
+  /** Hosts to try in this turn; those that failed recently come last. */
   const sources = (): KnownHost[] =>
-    recentFailures.order(registrySourcesFor(name, current().liveHosts, isRejected)).slice(0, READERS_ASKED)
+    recentFailures.sortFailedLast(registrySourcesFor(name, current().liveHosts, isRejected)).slice(0, READERS_PER_TURN)
   const refreshFromReaders = async (): Promise<boolean> => {
     if (confirmedAgeMs() >= registeredMs) {
       return false
     }
     for (const source of sources()) {
-      if (await exchange.askReader(source, ageMs() < HELD_AGE_MS) && isYoung()) {
+      if (await exchange.requestFromReader(source, ageMs() < MAX_LONG_POLL_AGE_MS) && isFresh()) {
         return true
       }
       recentFailures.record(source)
     }
     return false
   }
-  const readNow = async (): Promise<boolean> => {
-    ownReadAt = performance.now()
+  const readStore = async (): Promise<boolean> => {
+    lastStoreReadAt = performance.now()
     isRejected = !await readAndRegister()
     return !isRejected
   }
-  const isDue = (pauseMs: number): boolean => performance.now() - ownReadAt >= pauseMs
-  /** A reader's turn: reads the store, or asks others while the store rejects this host. */
+  const isDue = (pauseMs: number): boolean => performance.now() - lastStoreReadAt >= pauseMs
+  /** Turn of a reader: reads the store, or requests the snapshot from others while the store rejects this host. */
   const takeReaderTurn = async (): Promise<void> => {
-    if (isDue(READ_PAUSE_MS) && await readNow()) {
-      await pause(READ_PAUSE_MS)
+    if (isDue(READ_INTERVAL_MS) && await readStore()) {
+      await pause(READ_INTERVAL_MS)
       return
     }
     if (!await refreshFromReaders()) {
       await pause(FAILURE_PAUSE_MS)
     }
   }
-  /** Any other host's turn: asks readers, and reads the store when none returns a young snapshot. */
+  /** Turn of any other host: requests the snapshot from readers, or reads the store if none has a fresh one. */
   const takeTurn = async (): Promise<void> => {
     if (await refreshFromReaders()) {
       return
     }
-    if (isDue(isFollower() ? READ_PAUSE_MS : OWN_READ_PAUSE_MS)) {
-      await readNow()
+    if (isDue(isFollower() ? READ_INTERVAL_MS : FALLBACK_READ_INTERVAL_MS)) {
+      await readStore()
     }
     await pause(FAILURE_PAUSE_MS)
   }
-  return repeat(ASK_PAUSE_MS, async () => {
+  return repeat(REQUEST_PAUSE_MS, async () => {
     current().version < 0 || isReader() ? await takeReaderTurn() : await takeTurn()
   }, options.onError)
 }
--- a/src/entry/registry/snapshot.ts
+++ b/src/entry/registry/snapshot.ts
@@ -1,4 +1,4 @@
-/** What is known of the registry table, and how old that knowledge is. */
+/** Snapshot of the registry's table, decoded from its rows. */
 import { createHash } from 'node:crypto'
 import type * as z from 'zod'
 import type { StoreRow } from '../ports/index.ts'
@@ -7,26 +7,25 @@
   type PromotionLeaseRow, type Versioned
 } from './types.ts'
 
-/** A host and its name. */
+/** Row of a host, with its name. */
 export interface KnownHost extends HostRow {
   name: string
-  /** Version of its row. */
   version: number
 }
 
-/** The registry as of one moment. */
+/** The registry's table at one store version. */
 export interface RegistrySnapshot {
   readonly version: number
-  /** When the question whose answer it is was sent, on the steady clock, in milliseconds. */
+  /** Time when the rows were requested from the store, on the monotonic clock, in milliseconds. */
   readonly askedAt: number
   readonly rows: StoreRow[]
-  /** Names the rows and their versions: equal digests mean equal rows. */
+  /** Digest of the keys and versions of all rows; equal digests mean equal rows. */
   readonly digest: string
   readonly hosts: KnownHost[]
   /** Hosts that are not retired. */
   readonly liveHosts: KnownHost[]
   group: (name: string) => Versioned<GroupRow>
-  /** Groups at whose primaries nobody may work, and the epoch that is closed. */
+  /** Groups whose primary may not be used, with the closed epoch. */
   readonly closedGroups: Array<{ group: string, epoch: number }>
   readonly promotionLease: Versioned<PromotionLeaseRow>
 }
@@ -34,13 +33,13 @@
 const HOST_PREFIX = registryKeys.host('')
 const GROUP_PREFIX = registryKeys.group('')
 
-/** Decoded hosts by their rows: a row that has not changed is decoded once. */
+/** Caches decoded hosts by row, so that an unchanged row is decoded only once. */
 const decodedHosts = new WeakMap<StoreRow, KnownHost>()
 
 function decodeHost (row: StoreRow): KnownHost {
-  const known = decodedHosts.get(row)
-  if (known !== undefined) {
-    return known
+  const cached = decodedHosts.get(row)
+  if (cached !== undefined) {
+    return cached
   }
   const host: KnownHost = {
     ...hostRowSchema.parse(JSON.parse(row.value)), name: row.key.slice(HOST_PREFIX.length), version: row.version
@@ -49,43 +48,40 @@
   return host
 }
 
-/** Replaces rows that are known already by the known ones. */
-function keepKnownRows (rows: StoreRow[], known: StoreRow[]): StoreRow[] {
-  const byKey = new Map(known.map((row) => [row.key, row]))
+/** Replaces rows of equal version by the cached objects. */
+function reuseRows (rows: StoreRow[], cached: StoreRow[]): StoreRow[] {
+  const byKey = new Map(cached.map((row) => [row.key, row]))
   return rows.map((row) => {
-    const before = byKey.get(row.key)
-    return before?.version === row.version ? before : row
+    const previous = byKey.get(row.key)
+    return previous?.version === row.version ? previous : row
   })
 }
 
-/**
- * The hosts of some rows; the same lists as before when no host has changed, so that what is derived from them stays
- * cached.
- */
-function decodeHosts (rows: StoreRow[], before?: RegistrySnapshot): Pick<RegistrySnapshot, 'hosts' | 'liveHosts'> {
+/** Decodes the hosts. Returns the previous lists if no host has changed, which preserves values cached by list. */
+function decodeHosts (rows: StoreRow[], previous?: RegistrySnapshot): Pick<RegistrySnapshot, 'hosts' | 'liveHosts'> {
   const hosts = rows.filter(({ key }) => key.startsWith(HOST_PREFIX)).map(decodeHost)
-  const isSame = before?.hosts.length === hosts.length && hosts.every((host, index) => host === before.hosts[index])
+  const isSame = previous?.hosts.length === hosts.length && hosts.every((host, index) => host === previous.hosts[index])
   return isSame
-    ? { hosts: before.hosts, liveHosts: before.liveHosts }
+    ? { hosts: previous.hosts, liveHosts: previous.liveHosts }
     : { hosts, liveHosts: hosts.filter(({ retiredUntilMs }) => retiredUntilMs === undefined) }
 }
 
 /**
- * Decodes the rows of the registry. Of 192 hosts each decodes only what has changed since the snapshot before.
+ * Creates a snapshot. Only rows that have changed since the previous snapshot are decoded.
  *
- * @param read - the rows
- * @param version - version of the store they are as of
- * @param askedAt - when the question was sent
- * @param before - the snapshot before
+ * @param newRows - all rows of the table
+ * @param version - store version of the rows
+ * @param askedAt - time when the rows were requested from the store, on the monotonic clock
+ * @param previous - the previous snapshot
  * @returns the snapshot
  */
 export function createSnapshot (
-  read: StoreRow[], version: number, askedAt: number, before?: RegistrySnapshot
+  newRows: StoreRow[], version: number, askedAt: number, previous?: RegistrySnapshot
 ): RegistrySnapshot {
-  const rows = before === undefined ? read : keepKnownRows(read, before.rows)
+  const rows = previous === undefined ? newRows : reuseRows(newRows, previous.rows)
   const digest = digestOf(rows)
-  if (before?.digest === digest) {
-    return { ...before, version, askedAt }
+  if (previous?.digest === digest) {
+    return { ...previous, version, askedAt }
   }
   const byKey = new Map(rows.map((row) => [row.key, row]))
   const decode = <Schema extends z.ZodType>(key: string, schema: Schema): Versioned<z.infer<Schema>> => {
@@ -100,11 +96,11 @@
     askedAt,
     rows,
     digest,
-    ...decodeHosts(rows, before),
+    ...decodeHosts(rows, previous),
     group: (name) => {
-      const known = groups.get(name) ?? decode(registryKeys.group(name), groupRowSchema)
-      groups.set(name, known)
-      return known
+      const cached = groups.get(name) ?? decode(registryKeys.group(name), groupRowSchema)
+      groups.set(name, cached)
+      return cached
     },
     closedGroups: rows.filter(({ key }) => key.startsWith(GROUP_PREFIX)).flatMap(({ key, value }) => {
       const { state, epoch } = groupRowSchema.parse(JSON.parse(value))
@@ -118,5 +114,5 @@
   return createHash('sha256').update(rows.map((row) => `${row.key} ${row.version}`).join('\n')).digest('base64')
 }
 
-/** A registry of which nothing is known yet. */
-export const UNKNOWN_REGISTRY: RegistrySnapshot = createSnapshot([], -1, -Infinity)
+/** Snapshot of a host that has not read the registry yet. */
+export const EMPTY_SNAPSHOT: RegistrySnapshot = createSnapshot([], -1, -Infinity)
--- a/src/entry/registry/table-answers.ts
+++ b/src/entry/registry/table-answers.ts
@@ -1,79 +1,73 @@
 /**
- * What this host answers when another one asks it for a table of the store.
- *
- * - Inputs: the copy of the table here, whether the store answers this host's questions for it, the age of its registry
- *   (milliseconds), and the version that the other host knows.
- * - Rule: changes are always returned. That nothing is new is said only while the store answers this host, after the
- *   question was held for {@link TABLE_HOLD_MS}; otherwise the host refuses at once, and another one is asked.
- * - Why: two hosts that the store rejects would assure each other for good that nothing is new.
+ * Serves this host's copies of store tables to other hosts. Changes are always returned. An empty response is sent only
+ * while the store answers this host; otherwise the request is refused, since two hosts that the store rejects would
+ * confirm outdated copies to each other.
  */
-import type { TableAnswer, TableQuestion } from './table-messages.ts'
+import type { TableResponse, TableRequest } from './table-messages.ts'
 import type { TableChanges, TableCopy } from './table-copy.ts'
 
-/**
- * Time for which a question is held while nothing changes, in milliseconds. A follower that falls silent is noticed in
- * less: its link breaks when it does not answer the next question for the registry.
- */
-export const TABLE_HOLD_MS = 1500
-/** Time to read a table anew, in milliseconds. */
-export const ANSWER_MS = 400
-/** Age of a whole read that counts as read anew, in milliseconds: many hosts ask for the same. */
-const ANEW_MS = 300
-/** Greatest age of this host's registry, in milliseconds: with an older one the host may be cut off. */
-const IN_TOUCH_MS = 2500
+/** Time that a request is held while nothing changes, in milliseconds. */
+export const TABLE_LONG_POLL_MS = 1500
+/** Time that a follower has to respond beyond the long poll, in milliseconds; covers a full read of the store. */
+export const RESPONSE_TIMEOUT_MS = 400
+/** Maximum age of a full read that serves a request for a fresh one, in milliseconds; lets requests share a read. */
+const MAX_FRESH_AGE_MS = 300
+/** Maximum age of this host's registry snapshot, in milliseconds; with an older one the host may be cut off. */
+const MAX_REGISTRY_AGE_MS = 2500
 
-/** A table that other hosts may ask for. */
 export interface ServedTable {
   copy: TableCopy
-  /** Has it read from the store. */
-  readAnew: () => void
-  /** Whether the store answers this host's questions for it, so that the host knows when nothing is new. */
+  /** Requests a full read from the store. */
+  requestFreshRead: () => void
+  /** Whether the store answers this host, so that an empty response is reliable. */
   isFollowing: () => boolean
 }
 
-/** Answers other hosts. */
-interface TableAnswers {
-  /** Lets other hosts ask for a table. */
+/** Responds to requests for tables. */
+interface TableServer {
+  /** Makes a table available to other hosts. */
   serve: (table: string, served: ServedTable) => void
-  answer: (question: TableQuestion) => Promise<TableAnswer>
+  respond: (request: TableRequest) => Promise<TableResponse>
 }
 
 /**
- * Creates the answers; no table is served yet.
+ * Creates a server without tables.
  *
- * @param registryAgeMs - age of the registry here, in milliseconds
- * @returns the answers
+ * @param registryAgeMs - returns the age of this host's registry snapshot, in milliseconds
+ * @returns the server
  */
-export function createTableAnswers (registryAgeMs: () => number): TableAnswers {
+export function createTableServer (registryAgeMs: () => number): TableServer {
   const tables = new Map<string, ServedTable>()
   return {
     serve: (table, served) => { tables.set(table, served) },
-    answer: async ({ table, after, anew = false }) => {
+    respond: async ({ table, after, anew = false }) => {
       const served = tables.get(table)
-      if (served === undefined || registryAgeMs() >= IN_TOUCH_MS) {
+      if (served === undefined || registryAgeMs() >= MAX_REGISTRY_AGE_MS) {
         return { changes: undefined }
       }
-      return { changes: anew ? await readAnew(served) : await waitForChanges(served, after) }
+      return { changes: anew ? await waitForFreshRead(served) : await waitForChanges(served, after) }
     }
   }
 }
 
-async function readAnew ({ copy, readAnew, isFollowing }: ServedTable): Promise<TableChanges | undefined> {
-  const since = performance.now() - ANEW_MS
-  if (copy.readAt < since) {
+async function waitForFreshRead (
+  { copy, requestFreshRead, isFollowing }: ServedTable
+): Promise<TableChanges | undefined> {
+  const since = performance.now() - MAX_FRESH_AGE_MS
+  if (copy.fullReadAt < since) {
     if (!isFollowing()) {
       return undefined
     }
-    readAnew()
+    requestFreshRead()
   }
-  return await copy.readSince(since, ANSWER_MS) ? await copy.changesSince(undefined, 0) : undefined
+  return await copy.waitForRead(since, RESPONSE_TIMEOUT_MS) ? await copy.changesSince(undefined, 0) : undefined
 }
 
 async function waitForChanges (
   { copy, isFollowing }: ServedTable, after: number | undefined
 ): Promise<TableChanges | undefined> {
   const isFirst = after === undefined
-  const changes = await copy.changesSince(after, isFirst || isFollowing() ? TABLE_HOLD_MS : 0)
+  const changes = await copy.changesSince(after, isFirst || isFollowing() ? TABLE_LONG_POLL_MS : 0)
   const isNew = changes !== undefined && (isFirst || changes.version > after)
   return isNew || isFollowing() ? changes : undefined
 }
--- a/src/entry/registry/table-copy.ts
+++ b/src/entry/registry/table-copy.ts
@@ -1,57 +1,56 @@
-/** A table of the store as this host knows it, and its recent changes, for hosts that don't follow it. */
+/** Copy of a store table with its recent changes, which this host serves to hosts that don't follow the table. */
 import { createWaiters } from '../../core/time/waiters.ts'
 import type { StoreRow } from '../ports/index.ts'
 
-/** What has changed in a table since a version, or all of it. */
+/** Changes of a table since a version, or all of its rows. */
 export interface TableChanges {
-  /** Version of the store that this is as of. */
+  /** Store version that these changes lead to. */
   version: number
-  /** Whether `rows` are all that there are. */
+  /** Whether `rows` contains all rows of the table. */
   isWhole: boolean
   rows: StoreRow[]
-  /** Keys of rows that were removed; empty when it is whole. */
+  /** Keys of removed rows; empty if `isWhole`. */
   removed: string[]
 }
 
-/** A table as this host knows it. */
 export interface TableCopy {
   /**
-   * Replaces the copy by the whole table.
+   * Replaces all rows.
    *
-   * @param rows - its rows
-   * @param version - version of the store that they are as of
-   * @param askedAt - when the store was asked for them, on the steady clock; left out when another host was
+   * @param rows - all rows of the table
+   * @param version - store version of the rows
+   * @param askedAt - time of the request to the store, on the monotonic clock; absent for rows from another host
    */
   replace: (rows: StoreRow[], version: number, askedAt?: number) => void
-  /** Applies changes. */
+  /** Applies changed and removed rows. */
   update: (changed: StoreRow[], removed: string[], version: number) => void
   /**
-   * Waits until there is something new, for a bounded time.
+   * Waits for changes, and returns them.
    *
-   * @param after - version that is known already; undefined when nothing is
-   * @param holdMs - greatest wait, in milliseconds
-   * @returns what has changed; undefined when the table is not known here, or not as far as `after`
+   * @param after - version that the requester has; undefined to request all rows
+   * @param holdMs - maximum wait, in milliseconds
+   * @returns the changes, which may be empty; undefined if the copy is unread or older than `after`
    */
   changesSince: (after: number | undefined, holdMs: number) => Promise<TableChanges | undefined>
-  /** Version of the store that the copy is as of; undefined while nothing is known. */
+  /** Store version of the copy; undefined before the first read. */
   readonly version: number | undefined
-  /** When the store was last asked for the whole table by this host, on the steady clock. */
-  readonly readAt: number
+  /** Time of this host's last request to the store for all rows, on the monotonic clock. */
+  readonly fullReadAt: number
   /**
-   * Waits until the store was asked for the whole table after a moment, for a bounded time.
+   * Waits for a full read from the store.
    *
-   * @param since - the moment, on the steady clock
-   * @param timeoutMs - greatest wait, in milliseconds
-   * @returns whether it was
+   * @param since - earliest time of its request, on the monotonic clock
+   * @param timeoutMs - maximum wait, in milliseconds
+   * @returns whether there was such a read
    */
-  readSince: (since: number, timeoutMs: number) => Promise<boolean>
+  waitForRead: (since: number, timeoutMs: number) => Promise<boolean>
 }
 
-/** Removed rows that are remembered; a requester that knows less gets the whole table. */
-const REMEMBERED_REMOVALS = 200
+/** Number of removals that are kept; a requester with an older version receives all rows. */
+const MAX_REMOVALS = 200
 
 /**
- * Creates a copy, which knows nothing yet.
+ * Creates an empty copy.
  *
  * @returns the copy
  */
@@ -60,9 +59,9 @@
   const rows = new Map<string, StoreRow>()
   let removals: Array<{ key: string, version: number }> = []
   let version: number | undefined
-  /** Version from which on all removals are remembered. */
-  let rememberedFrom = 0
-  let readAt = -Infinity
+  /** Version from which all removals are available. */
+  let removalsFrom = 0
+  let lastFullReadAt = -Infinity
 
   const changedSince = (after: number): TableChanges => ({
     version: version!,
@@ -70,11 +69,11 @@
     rows: [...rows.values()].filter((row) => row.version > after),
     removed: removals.filter((removal) => removal.version > after && !rows.has(removal.key)).map(({ key }) => key)
   })
-  const look = (after: number | undefined): TableChanges | undefined => {
+  const findChanges = (after: number | undefined): TableChanges | undefined => {
     if (version === undefined || (after !== undefined && after > version)) {
       return undefined
     }
-    return after === undefined || after < rememberedFrom
+    return after === undefined || after < removalsFrom
       ? { version, isWhole: true, rows: [...rows.values()], removed: [] }
       : changedSince(after)
   }
@@ -82,16 +81,16 @@
     isWhole || rows.length > 0 || removed.length > 0
   return {
     get version () { return version },
-    get readAt () { return readAt },
-    readSince: async (since, timeoutMs) =>
-      await waiters.until(() => readAt >= since || undefined, timeoutMs) ?? false,
-    replace: (read, readVersion, askedAt = readAt) => {
+    get fullReadAt () { return lastFullReadAt },
+    waitForRead: async (since, timeoutMs) =>
+      await waiters.until(() => lastFullReadAt >= since || undefined, timeoutMs) ?? false,
+    replace: (newRows, newVersion, askedAt = lastFullReadAt) => {
       rows.clear()
-      read.forEach((row) => rows.set(row.key, row))
+      newRows.forEach((row) => rows.set(row.key, row))
       removals = []
-      version = readVersion
-      rememberedFrom = readVersion
-      readAt = askedAt
+      version = newVersion
+      removalsFrom = newVersion
+      lastFullReadAt = askedAt
       waiters.notify()
     },
     update: (changed, removed, newVersion) => {
@@ -100,17 +99,17 @@
         rows.delete(key)
         removals.push({ key, version: newVersion })
       })
-      const forgotten = removals.splice(0, Math.max(0, removals.length - REMEMBERED_REMOVALS))
-      rememberedFrom = Math.max(rememberedFrom, ...forgotten.map((removal) => removal.version))
+      const dropped = removals.splice(0, Math.max(0, removals.length - MAX_REMOVALS))
+      removalsFrom = Math.max(removalsFrom, ...dropped.map((removal) => removal.version))
       version = newVersion
       waiters.notify()
     },
     changesSince: async (after, holdMs) => {
       const found = await waiters.until(() => {
-        const changes = look(after)
+        const changes = findChanges(after)
         return changes !== undefined && hasChanges(changes) ? changes : undefined
       }, holdMs)
-      return found ?? look(after)
+      return found ?? findChanges(after)
     }
   }
 }
--- a/src/entry/registry/table-exchange.ts
+++ b/src/entry/registry/table-exchange.ts
@@ -1,24 +1,22 @@
 /**
- * Plug-in `tableRelay`: a few hosts follow the tables of the store, the others ask one of these by long poll, which
- * answers as soon as something changes. If each host followed each table, every change would cost a call from each, and
- * hosts that the store rejects would ask it again and again.
+ * Plug-in `tableRelay`: a few hosts follow the tables of the store, and all others request changes from them by long
+ * poll, which saves calls to the store.
  */
 import { registerPlugin } from '../../core/kernel/index.ts'
 import { createWaiters } from '../../core/time/waiters.ts'
 import { followersOf, orderFor } from './readers.ts'
-import { createTableAnswers, type ServedTable } from './table-answers.ts'
-import { tableQuestionSchema } from './table-messages.ts'
-import { createTableQuestions, type TableQuestions } from './table-questions.ts'
+import { createTableServer, type ServedTable } from './table-answers.ts'
+import { tableRequestSchema } from './table-messages.ts'
+import { createTableClient, type TableClient } from './table-questions.ts'
 
-/** Service of the plug-in. */
-export interface TableExchange extends TableQuestions {
-  /** Waits until this host knows the other hosts, for a bounded time. */
-  hostsKnown: () => Promise<void>
+export interface TableExchange extends TableClient {
+  /** Waits for the list of hosts; the wait is bounded. */
+  waitForHosts: () => Promise<void>
   /** Whether this host follows tables in the store. */
   isFollower: () => boolean
-  /** Calls back when this host has ceased to be a follower. */
-  onRelieved: (listener: () => void) => void
-  /** Lets other hosts ask for a table. */
+  /** Adds a listener that is called when this host ceases to be a follower. */
+  onFollowerRoleEnd: (listener: () => void) => void
+  /** Makes a table available to other hosts. */
   serve: (table: string, served: ServedTable) => void
 }
 
@@ -26,8 +24,8 @@
   interface Services { tableRelay: TableExchange }
 }
 
-/** Time that a host which has just started waits for the list of hosts, in milliseconds. */
-const HOSTS_KNOWN_MS = 300
+/** Maximum wait for the list of hosts after a start, in milliseconds. */
+const HOSTS_TIMEOUT_MS = 300
 
 registerPlugin({
   name: 'tableRelay',
@@ -37,22 +35,22 @@
     const peers = context.use('peers')
     const { logger } = context
     const { self } = registry
-    const hostsKnown = createWaiters()
-    const relievedListeners: Array<() => void> = []
+    const hostWaiters = createWaiters()
+    const roleEndListeners: Array<() => void> = []
     let wasFollower = false
 
     const isFollower = (): boolean => followersOf(registry.current.liveHosts).some(({ name }) => name === self.name)
     registry.onChange(() => {
-      hostsKnown.notify()
-      const isRelieved = wasFollower && !isFollower()
+      hostWaiters.notify()
+      const hasRoleEnded = wasFollower && !isFollower()
       wasFollower = isFollower()
-      if (isRelieved) {
-        relievedListeners.forEach((listener) => listener())
+      if (hasRoleEnded) {
+        roleEndListeners.forEach((listener) => listener())
       }
     })
-    const answers = createTableAnswers(() => performance.now() - registry.current.askedAt)
-    peers.handle('table-changes', async (body) => await answers.answer(tableQuestionSchema.parse(body)))
-    const questions = createTableQuestions({
+    const tableServer = createTableServer(() => performance.now() - registry.current.askedAt)
+    peers.handle('table-changes', async (body) => await tableServer.respond(tableRequestSchema.parse(body)))
+    const tableClient = createTableClient({
       peers,
       logger,
       followers: () => {
@@ -62,13 +60,13 @@
     })
     return {
       service: {
-        ...questions,
-        hostsKnown: async () => {
-          await hostsKnown.until(() => registry.current.version >= 0 || undefined, HOSTS_KNOWN_MS)
+        ...tableClient,
+        waitForHosts: async () => {
+          await hostWaiters.until(() => registry.current.version >= 0 || undefined, HOSTS_TIMEOUT_MS)
         },
         isFollower,
-        onRelieved: (listener) => { relievedListeners.push(listener) },
-        serve: answers.serve
+        onFollowerRoleEnd: (listener) => { roleEndListeners.push(listener) },
+        serve: tableServer.serve
       }
     }
   }
--- a/src/entry/registry/table-messages.ts
+++ b/src/entry/registry/table-messages.ts
@@ -1,15 +1,14 @@
-/** The question of one host to another for a table of the store, and its answer. */
+/** Messages by which one host requests a table of the store from another. */
 import * as z from 'zod'
 
-/** Question for a table. */
-export const tableQuestionSchema = z.object({
+export const tableRequestSchema = z.object({
   table: z.string(),
-  /** Version that is known already; left out for the whole table. */
+  /** Version that the requester has; absent to request all rows. */
   after: z.number().optional(),
-  /** Whether the table is to be read anew from the store. */
+  /** Whether the responder must read the table from the store first. */
   anew: z.boolean().optional()
 })
-export type TableQuestion = z.infer<typeof tableQuestionSchema>
+export type TableRequest = z.infer<typeof tableRequestSchema>
 
 const changesSchema = z.object({
   version: z.number(),
@@ -18,6 +17,6 @@
   removed: z.array(z.string())
 })
 
-/** Answer; without changes the host cannot say. */
-export const tableAnswerSchema = z.object({ changes: changesSchema.optional() })
-export type TableAnswer = z.infer<typeof tableAnswerSchema>
+/** Response to a {@link TableRequest}; without `changes` the host cannot answer reliably. */
+export const tableResponseSchema = z.object({ changes: changesSchema.optional() })
+export type TableResponse = z.infer<typeof tableResponseSchema>
--- a/src/entry/registry/table-questions.ts
+++ b/src/entry/registry/table-questions.ts
@@ -1,110 +1,106 @@
 /**
- * Whom this host asks for a table of the store, and which answer is good enough.
- *
- * - Inputs: the hosts that follow the tables, in the order in which this host asks them; which of them failed lately;
- *   the version that an answer must be as of.
- * - Rule: those that failed lately come last. The first answer that is as of the version counts. {@link
- *   FOLLOWERS_WAITED_FOR} may leave the question unanswered; those that refuse at once are skipped.
- * - Why: what another host has reported is known somewhere; a host that the store rejects must find one that has it.
+ * Requests a table of the store from the hosts that follow it. Hosts that failed recently are tried last. The first
+ * response of a sufficient version is accepted, and the search ends after {@link MAX_TIMEOUTS} timeouts.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import type { Peers } from '../../peers/index.ts'
 import { createRecentFailures } from './recent-failures.ts'
 import type { KnownHost } from './snapshot.ts'
-import { ANSWER_MS, TABLE_HOLD_MS } from './table-answers.ts'
+import { RESPONSE_TIMEOUT_MS, TABLE_LONG_POLL_MS } from './table-answers.ts'
 import type { TableChanges } from './table-copy.ts'
-import { tableAnswerSchema, type TableAnswer, type TableQuestion } from './table-messages.ts'
+import { tableResponseSchema, type TableResponse, type TableRequest } from './table-messages.ts'
 
 /**
- * Time that a host which has just started waits for the whole table before it reads the store, in milliseconds: some
- * round trips. When all hosts start at once, those that it asks know nothing yet either.
+ * Time that a host waits after its start for all rows before it reads the store, in milliseconds. Kept short, because
+ * the followers have nothing to return if all hosts start at once.
  */
-const FIRST_ANSWER_MS = 40
-/** Followers that may leave a question unanswered in one turn. */
-const FOLLOWERS_WAITED_FOR = 2
+const FIRST_RESPONSE_MS = 40
+/** Number of timeouts permitted in one turn. */
+const MAX_TIMEOUTS = 2
 
-/** Options of {@link createTableQuestions}. */
-interface TableQuestionsOptions {
+interface TableClientOptions {
   peers: Pick<Peers, 'request' | 'ask'>
   logger: Logger
-  /** The other hosts that follow the tables, the one to ask first in front. */
+  /** The other hosts that follow the tables, ordered by preference. */
   followers: () => KnownHost[]
 }
 
-/** Asks other hosts. */
-export interface TableQuestions {
+/** Requests tables from other hosts. */
+export interface TableClient {
   /**
-   * Asks those who follow a table what has changed.
+   * Requests the changes of a table.
    *
    * @param table - the table
-   * @param after - version that is known here; undefined for the whole table
-   * @param atLeast - version that the answer must be as of
-   * @returns what has changed; undefined when no host could answer
+   * @param after - version that this host has; undefined to request all rows
+   * @param atLeast - minimum version of the response
+   * @returns the changes; undefined if no host could answer
    */
-  ask: (table: string, after: number | undefined, atLeast: number) => Promise<TableChanges | undefined>
+  requestChanges: (table: string, after: number | undefined, atLeast: number) => Promise<TableChanges | undefined>
   /**
-   * Asks one of those who follow a table to read it anew from the store.
+   * Requests all rows of a table, read from the store on behalf of this request.
    *
    * @param table - the table
-   * @param atLeast - version that the answer must be as of
-   * @returns the whole table; undefined when no host could answer
+   * @param atLeast - minimum version of the response
+   * @returns all rows; undefined if no host could answer
    */
-  askAnew: (table: string, atLeast: number) => Promise<TableChanges | undefined>
+  requestFreshRows: (table: string, atLeast: number) => Promise<TableChanges | undefined>
 }
 
 /**
- * Creates the questions.
+ * Creates the client.
  *
- * @param options - the links and the hosts
- * @returns the questions
+ * @param options - the links and the followers
+ * @returns the client
  */
-export function createTableQuestions ({ peers, logger, followers }: TableQuestionsOptions): TableQuestions {
+export function createTableClient ({ peers, logger, followers }: TableClientOptions): TableClient {
   const recentFailures = createRecentFailures()
 
-  /** A question that is given up early must not break the link, which others use. */
-  const send = async (host: KnownHost, question: TableQuestion, timeoutMs: number): Promise<unknown> =>
-    question.after === undefined
-      ? await peers.request(host, 'table-changes', question, timeoutMs)
-      : await peers.ask(host, 'table-changes', question, timeoutMs)
-  const askOne = async (
-    host: KnownHost, question: TableQuestion, timeoutMs: number
-  ): Promise<TableAnswer | undefined> => {
+  /** Requests all rows by `peers.request`, because its short timeout must not break the shared link. */
+  const send = async (host: KnownHost, tableRequest: TableRequest, timeoutMs: number): Promise<unknown> =>
+    tableRequest.after === undefined
+      ? await peers.request(host, 'table-changes', tableRequest, timeoutMs)
+      : await peers.ask(host, 'table-changes', tableRequest, timeoutMs)
+  const requestFromHost = async (
+    host: KnownHost, tableRequest: TableRequest, timeoutMs: number
+  ): Promise<TableResponse | undefined> => {
     try {
-      return tableAnswerSchema.parse(await send(host, question, timeoutMs))
+      return tableResponseSchema.parse(await send(host, tableRequest, timeoutMs))
     } catch (thrown) {
       logger.log('debug', 'registry.peer-silent', { peer: host.name, reason: describeThrown(thrown) })
       return undefined
     }
   }
-  const isEnough = (peer: string, table: string, { version }: TableChanges, atLeast: number): boolean => {
+  const isRecentEnough = (peer: string, table: string, { version }: TableChanges, atLeast: number): boolean => {
     if (version >= atLeast) {
       return true
     }
     logger.log('info', 'feed.peer-behind', { table, peer, version, told: atLeast })
     return false
   }
-  const askInTurn = async (
-    question: TableQuestion, timeoutMs: number, atLeast: number
+  const requestInTurn = async (
+    tableRequest: TableRequest, timeoutMs: number, atLeast: number
   ): Promise<TableChanges | undefined> => {
-    const isFirst = question.after === undefined && question.anew !== true
-    let waitsLeft = isFirst ? 1 : FOLLOWERS_WAITED_FOR
-    for (const host of recentFailures.order(followers())) {
-      const answer = await askOne(host, question, timeoutMs)
-      if (answer?.changes !== undefined && isEnough(host.name, question.table, answer.changes, atLeast)) {
-        return answer.changes
+    const isFirst = tableRequest.after === undefined && tableRequest.anew !== true
+    let timeoutsLeft = isFirst ? 1 : MAX_TIMEOUTS
+    for (const host of recentFailures.sortFailedLast(followers())) {
+      const response = await requestFromHost(host, tableRequest, timeoutMs)
+      if (response?.changes !== undefined && isRecentEnough(host.name, tableRequest.table, response.changes, atLeast)) {
+        return response.changes
       }
       recentFailures.record(host)
-      waitsLeft -= answer === undefined ? 1 : 0
-      if (waitsLeft === 0) {
+      timeoutsLeft -= response === undefined ? 1 : 0
+      if (timeoutsLeft === 0) {
         return undefined
       }
     }
     return undefined
   }
   return {
-    ask: async (table, after, atLeast) =>
-      await askInTurn({ table, after }, after === undefined ? FIRST_ANSWER_MS : TABLE_HOLD_MS + ANSWER_MS, atLeast),
-    askAnew: async (table, atLeast) => await askInTurn({ table, anew: true }, ANSWER_MS, atLeast)
+    requestChanges: async (table, after, atLeast) =>
+      await requestInTurn(
+        { table, after }, after === undefined ? FIRST_RESPONSE_MS : TABLE_LONG_POLL_MS + RESPONSE_TIMEOUT_MS, atLeast
+      ),
+    requestFreshRows: async (table, atLeast) => await requestInTurn({ table, anew: true }, RESPONSE_TIMEOUT_MS, atLeast)
   }
 }
--- a/src/entry/registry/table-reads.ts
+++ b/src/entry/registry/table-reads.ts
@@ -1,7 +1,4 @@
-/**
- * The ways in which a followed table is read: whole from the store, its changes from the store by long poll, or either
- * from a host that follows it. Which of them is next is decided in `follow-table.ts`.
- */
+/** Reads a followed table from the store or from another follower. `follow-table.ts` selects the source. */
 import type { Logger } from '../../core/logger/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import type { StorePort } from '../ports/index.ts'
@@ -9,112 +6,107 @@
 import type { FollowedTable } from './followed-table.ts'
 import type { TableExchange } from './table-exchange.ts'
 
-/** Options of {@link createTableReads}. */
 interface TableReadsOptions {
   store: Pick<StorePort, 'list' | 'follow'>
   table: string
   logger: Logger
   followed: FollowedTable
   notifications: Pick<ChangeNotifications, 'notify'>
-  exchange: Pick<TableExchange, 'ask' | 'askAnew'>
-  /** Pause after changes before the next question, in milliseconds. */
-  gatherMs: number
+  exchange: Pick<TableExchange, 'requestChanges' | 'requestFreshRows'>
+  /** Pause after changes before the next request, in milliseconds. */
+  batchMs: number
 }
 
-/**
- * Time after its last answer for which the store counts as answering this host, in milliseconds: longer than the pause
- * between two questions.
- */
-const ANSWERING_MS = 1000
+/** Time after its last answer for which the store counts as answering, in milliseconds; covers pauses between reads. */
+const FOLLOWING_GRACE_MS = 1000
 
-/** Reads of a followed table. */
 interface TableReads {
-  /** Whether the store answers this host's questions for the table, or holds one. */
+  /** Whether the store holds a request of this host for the table, or has answered one recently. */
   readonly isFollowing: boolean
-  /** Reads the whole table from the store. */
-  readWhole: () => Promise<void>
-  /** Waits for changes after a version from the store, for at most `waitMs` milliseconds. */
+  /** Reads all rows from the store. */
+  readFull: () => Promise<void>
+  /** Waits up to `waitMs` milliseconds for changes after a version from the store, and applies them. */
   readChanges: (after: number, waitMs: number) => Promise<void>
   /**
-   * Asks followers.
+   * Reads from followers.
    *
-   * @param atLeast - version that an answer must be as of: another host has reported it
-   * @returns whether one could answer
+   * @param atLeast - minimum version of the response, which another host has reported
+   * @returns whether a follower could answer
    */
   readFromPeer: (atLeast: number) => Promise<boolean>
-  /** Ends a wait for changes. */
+  /** Aborts a pending request for changes. */
   interrupt: () => void
-  /** Has the table read whole next. */
-  startAgain: () => void
-  /** The same, and whoever is asked must read it anew from the store. */
-  readAnew: () => void
+  /** Makes the next read a full read, and aborts a pending request for changes. */
+  requestFullRead: () => void
+  /** Like `requestFullRead`; a follower must also read the store again before it responds. */
+  requestFreshRead: () => void
 }
 
 /**
- * Creates the reads of a table.
+ * Creates the reads of a table. Reads from the store throw the store's errors.
  *
- * @param options - the table, and who is asked
- * @returns the reads; those of the store throw what it throws
+ * @param options - the table and its sources
+ * @returns the reads
  */
 export function createTableReads (options: TableReadsOptions): TableReads {
-  const { store, table, logger, followed, notifications, exchange, gatherMs } = options
-  let mustBeAnew = false
-  let waiting = new AbortController()
-  let isAsking = false
-  let answeredAt = -Infinity
+  const { store, table, logger, followed, notifications, exchange, batchMs } = options
+  let mustReadFresh = false
+  let longPoll = new AbortController()
+  let isLongPolling = false
+  let lastAnswerAt = -Infinity
 
-  const startAgain = (): void => {
-    followed.forgetVersion()
-    waiting.abort()
+  const requestFullRead = (): void => {
+    followed.invalidate()
+    longPoll.abort()
   }
   return {
-    get isFollowing () { return isAsking || performance.now() - answeredAt < ANSWERING_MS },
-    startAgain,
-    interrupt: () => waiting.abort(),
-    readAnew: () => {
-      mustBeAnew = true
-      startAgain()
+    get isFollowing () { return isLongPolling || performance.now() - lastAnswerAt < FOLLOWING_GRACE_MS },
+    requestFullRead,
+    interrupt: () => longPoll.abort(),
+    requestFreshRead: () => {
+      mustReadFresh = true
+      requestFullRead()
     },
-    readWhole: async () => {
-      mustBeAnew = false
+    readFull: async () => {
+      mustReadFresh = false
       const askedAt = performance.now()
       const snapshot = await store.list(table)
-      answeredAt = performance.now()
+      lastAnswerAt = performance.now()
       followed.replace(snapshot.rows, snapshot.version, askedAt)
     },
     readChanges: async (after, waitMs) => {
-      waiting = new AbortController()
-      const { signal } = waiting
-      isAsking = true
+      longPoll = new AbortController()
+      const { signal } = longPoll
+      isLongPolling = true
       const changes = await store.follow(table, after, waitMs, signal).catch((thrown: unknown) => {
         if (!signal.aborted) {
           throw thrown
         }
-      }).finally(() => { isAsking = false })
+      }).finally(() => { isLongPolling = false })
       if (signal.aborted) {
         return
       }
-      answeredAt = performance.now()
+      lastAnswerAt = performance.now()
       if (changes === undefined) {
         logger.log('warn', 'feed.history-lost', { table, version: after })
-        followed.forgetVersion()
+        followed.invalidate()
         return
       }
       followed.update(changes.changed, changes.removed, changes.version)
       if (changes.changed.length + changes.removed.length > 0) {
         notifications.notify(table, changes.newest)
-        await pause(gatherMs)
+        await pause(batchMs)
       }
     },
     readFromPeer: async (atLeast) => {
-      const before = followed.version
-      const isAnew = mustBeAnew
-      mustBeAnew = false
-      const changes = isAnew
-        ? await exchange.askAnew(table, atLeast)
-        : await exchange.ask(table, followed.copy.version, atLeast)
-      // A change of the version meanwhile means that the answer is to an earlier state.
-      if (changes === undefined || followed.version !== before) {
+      const versionBefore = followed.version
+      const isFresh = mustReadFresh
+      mustReadFresh = false
+      const changes = isFresh
+        ? await exchange.requestFreshRows(table, atLeast)
+        : await exchange.requestChanges(table, followed.copy.version, atLeast)
+      // A version that changed during the request makes the response outdated.
+      if (changes === undefined || followed.version !== versionBefore) {
         return changes !== undefined
       }
       changes.isWhole
--- a/src/entry/registry/types.ts
+++ b/src/entry/registry/types.ts
@@ -1,100 +1,91 @@
-/** Rows that the entry processes keep in the store, all in one table, so that one read shows them as of one moment. */
+/** Rows that the entry processes keep in the store. They share one table, so that a single read is consistent. */
 import * as z from 'zod'
 
-/** Table of the rows. */
 export const REGISTRY_TABLE = 'worksward'
 
-/** Row of a host on which an entry process runs or ran. */
+/** Row of a host that runs, or ran, an entry process. */
 export const hostRowSchema = z.object({
   address: z.string(),
-  /** Port for peers. */
+  /** Port that peers connect to. */
   port: z.number().int(),
   failureDomain: z.string(),
-  /** Identity of the running process; a restart makes another one. {@link RETIRED_PROCESS} when it was retired. */
+  /** Identity of the running process, new after each restart; {@link RETIRED_PROCESS} for a retired host. */
   process: z.string(),
-  /** Groups at whose primaries the process has stopped working, and the newest epoch for which that is certain. */
+  /** Newest epoch, by group, up to which the process has stopped working at the group's primary. */
   stopped: z.record(z.string(), z.number().int()).optional(),
-  /** Whether the process is stopping: it finishes what it has, and others take new work. */
+  /** Whether the process is stopping: it finishes its requests and takes no new ones. */
   leaving: z.boolean().optional(),
-  /** Time of the store's clock at which the last lease of a retired process has expired, in milliseconds. */
+  /** Time on the store's clock when the last lease of a retired process expires, in milliseconds. */
   retiredUntilMs: z.number().optional()
 })
 
-/** Stands for the process of a host that peers have retired. */
+/** Value of `process` in the row of a host that a peer has retired. */
 export const RETIRED_PROCESS = 'retired'
 
-/** Who leads a group. */
+/** Leadership of a group. */
 export const groupRowSchema = z.object({
-  /** Raised whenever work at the primary is allowed or stopped anew. */
+  /** Incremented each time work at the primary is permitted or stopped. */
   epoch: z.number().int(),
   primary: z.string(),
-  /** When the primary started, by its own row; one that has started again since holds nothing of the group's log. */
+  /** Start time from the primary's own row; after a restart the upstream no longer holds the group's log. */
   primaryBornAt: z.number().optional(),
-  /** `open`: hosts may work at the primary. `closed`: they may not; a successor is being made. */
+  /** `open`: hosts may work at the primary. `closed`: they may not, because a failover is in progress. */
   state: z.enum(['open', 'closed']),
-  /** Newest term of the group's log that the writer knew. */
+  /** Newest term of the group's log known to the writer. */
   term: z.number().int(),
-  /** Host that wrote the row. */
   writtenBy: z.string(),
-  /** Identity of the failover that wrote the row last; empty in an open row. The stored name is fixed. */
+  /** Identity of the failover that wrote the row last; empty in an open row. */
   succession: z.string()
 })
 
-/** The lease on promoting. */
+/** Lease that permits its holder to promote upstreams. */
 export const promotionLeaseRowSchema = z.object({
   holder: z.string(),
-  /** Process of the holder. */
   process: z.string(),
-  /** Fencing token; raised with every change of the holder. */
+  /** Fencing token, incremented with each change of the holder. */
   fence: z.number().int(),
-  /** End of the lease on the store's clock, in milliseconds. */
+  /** Expiry on the store's clock, in milliseconds. */
   expiresMs: z.number()
 })
 
-/** A host on which an entry process runs or ran. */
 export type HostRow = z.infer<typeof hostRowSchema>
-/** Who leads a group. */
 export type GroupRow = z.infer<typeof groupRowSchema>
-/** The lease on promoting. */
 export type PromotionLeaseRow = z.infer<typeof promotionLeaseRowSchema>
 
-/** A row with its version; 0 when there is none. */
+/** A row and its version; the version is 0 if the row does not exist. */
 export interface Versioned<Row> {
   row: Row | undefined
   version: number
 }
 
-/** Keys of the rows. */
 export const registryKeys = {
   host: (name: string): string => `host/${name}`,
   group: (name: string): string => `group/${name}`,
-  /** The stored key is fixed. */
   promotionLease: 'duty/promotion'
 } as const
 
-/** Body of the question for a peer's snapshot. */
-export const snapshotQuestionSchema = z.object({
-  /** Digest of the rows that the requester has; left out when it wants all. */
+/** Request for a peer's snapshot. */
+export const snapshotRequestSchema = z.object({
+  /** Digest of the rows that the requester has; absent to request all rows. */
   digest: z.string().optional(),
-  /** Version of the store that these rows are as of. */
+  /** Store version of the requester's snapshot. */
   version: z.number().optional(),
-  /** Time for which the answer may be held while there is nothing new, in milliseconds. */
+  /** Time to hold the request while there is nothing new, in milliseconds. */
   holdMs: z.number().optional()
 })
 
-/** A snapshot of the table as peers pass it on. */
+/** Snapshot of the registry, or the changes to it, as sent to a peer. */
 export const snapshotReplySchema = z.object({
   version: z.number(),
   digest: z.string(),
-  /** All rows, or those that have changed since the version that was named; left out when the requester has them. */
+  /** All rows, or those changed since the requested version; absent if the requester's digest matches. */
   rows: z.array(z.object({ key: z.string(), value: z.string(), version: z.number() })).optional(),
-  /** Whether `rows` are only those that have changed. */
+  /** Whether `rows` contains only changed rows. */
   isChange: z.boolean().optional(),
-  /** Time since the question to the store was sent, in milliseconds. */
+  /** Time since the store was asked for these rows, in milliseconds. */
   ageMs: z.number(),
-  /** Whether the host that answers has recently read it from the store itself. */
+  /** Whether the responding host has recently read the rows from the store itself. */
   isReading: z.boolean()
 })
 
-/** A snapshot of the table as peers pass it on. */
 export type SnapshotReply = z.infer<typeof snapshotReplySchema>
--- a/test/entry/registry/readers.test.ts
+++ b/test/entry/registry/readers.test.ts
@@ -9,21 +9,21 @@
   name, version: 1, address: '127.0.0.1', port: 1, failureDomain: 'x', process: 'p'
 }))
 
-describe('hosts that read the registry for others', () => {
+describe('readers of the registry', () => {
   const suite = setUpWorld(NAMES)
   const reader = (): string => readersOf(hostsNamed(NAMES))[0]!.name
   const others = (): string[] => NAMES.filter((name) => name !== reader())
   const writeOn = async (host: string) => await suite.settle(suite.world.connect(host, 'money').write(), 900)
 
-  it('keep the calls to the store few', async () => {
+  it('keep the number of store reads low', async () => {
     const before = suite.world.store.lists('worksward')
     await suite.clock.tickAsync(20_000)
-    // One reader each 750 ms, and the others each 10 s.
+    // One reader reads every 750 ms, and the other hosts every 10 s.
     expect(suite.world.store.lists('worksward') - before < 50).toEqual(true)
     expect((await writeOn(others()[0]!)).failure).toEqual(undefined)
   })
 
-  it('are not missed when they are paused', async () => {
+  it('do not block writes on other hosts while a reader is paused', async () => {
     suite.world.silent.add(reader())
     suite.world.store.cutOff.add(reader())
     for (let turn = 0; turn < 8; turn++) {
@@ -31,14 +31,14 @@
     }
   })
 
-  it('are not relied on when the store does not answer them', async () => {
+  it('do not block writes on other hosts while the store rejects a reader', async () => {
     suite.world.store.cutOff.add(reader())
     for (let turn = 0; turn < 8; turn++) {
       expect((await writeOn(others()[turn % others().length]!)).failure).toEqual(undefined)
     }
   })
 
-  it('pass a closed group on soon, also without being asked to refresh', async () => {
+  it('propagate a failover, so that writes succeed on all hosts soon after it', async () => {
     const primary = suite.world.upstreams.all.get('g-a')!
     primary.crash()
     await writeOn(others()[0]!)
@@ -49,37 +49,37 @@
   })
 })
 
-describe('the choice of readers', () => {
+describe('selection of readers', () => {
   const many = Array.from({ length: 2300 }, (_, index) => `host-${index}`)
 
-  it('names one for few hosts, and one for every part of many', () => {
+  it('selects one reader for each HOSTS_PER_READER hosts, rounded up', () => {
     expect(readersOf(hostsNamed(NAMES)).length).toEqual(1)
     expect(readersOf(hostsNamed(many)).length).toEqual(Math.ceil(many.length / HOSTS_PER_READER))
     expect(readersOf([])).toEqual([])
   })
 
-  it('is the same for all hosts, in whatever order they know them', () => {
+  it('does not depend on the order of the hosts', () => {
     const namesOf = (hosts: KnownHost[]): string[] => readersOf(hosts).map(({ name }) => name)
     expect(namesOf(hostsNamed(many))).toEqual(namesOf(hostsNamed(many.toReversed())))
   })
 
-  it('lets a reader ask nobody else', () => {
+  it('orders a reader before all others for itself', () => {
     const [first] = readersOf(hostsNamed(NAMES))
     expect(orderFor(first!.name, hostsNamed(NAMES), readersOf(hostsNamed(NAMES)))[0]?.name).toEqual(first!.name)
   })
 
-  it('spreads the requesters over the readers', () => {
+  it('spreads the requests of other hosts over the readers', () => {
     const hosts = hostsNamed(many)
-    const asked = new Map<string, number>()
+    const requestsByReader = new Map<string, number>()
     for (const name of many.slice(0, 600)) {
       const reader = orderFor(name, hosts, readersOf(hosts))[0]!.name
-      asked.set(reader, (asked.get(reader) ?? 0) + 1)
+      requestsByReader.set(reader, (requestsByReader.get(reader) ?? 0) + 1)
     }
-    expect(Math.max(...asked.values()) < 25).toEqual(true)
+    expect(Math.max(...requestsByReader.values()) < 25).toEqual(true)
   })
 })
 
-describe('the hosts that are asked for the registry', () => {
+describe('sources of the registry', () => {
   const names = Array.from({ length: 16 }, (_, index) => `h${index + 1}`)
   const hosts = hostsNamed(names)
   const followers = followersOf(hosts).map(({ name }) => name)
@@ -87,22 +87,22 @@
   const sourcesOf = (name: string, isRejected = false): string[] =>
     registrySourcesFor(name, hosts, isRejected).map((source) => source.name)
 
-  it('are the reader, then its deputies', () => {
+  it('are the reader, then the other followers', () => {
     const other = names.find((name) => !followers.includes(name))!
     expect(sourcesOf(other)).toEqual(followers)
     expect(sourcesOf(reader!)).toEqual(followers.slice(1))
   })
 
-  it('are those before it for a deputy, and all others while the store rejects it', () => {
+  it('are the preceding followers for a backup reader, and all other followers while the store rejects it', () => {
     expect(sourcesOf(first!)).toEqual([reader!])
     expect(sourcesOf(second!)).toEqual([reader!, first!])
     expect(sourcesOf(second!, true)).toEqual(followers.filter((name) => name !== second))
   })
 })
 
-describe('the digest of a snapshot', () => {
+describe('digest of a snapshot', () => {
   const row = { key: 'host/a', value: JSON.stringify(hostsNamed(['a'])[0]), version: 3 }
-  it('differs for rows of other versions, and not for another version of the store', () => {
+  it('depends on the versions of the rows, not on the version of the store', () => {
     const snapshot = createSnapshot([row], 10, 0)
     expect(createSnapshot([row], 11, 5).digest).toEqual(snapshot.digest)
     expect(createSnapshot([{ ...row, version: 4 }], 10, 0).digest === snapshot.digest).toEqual(false)
--- a/test/entry/registry/snapshot-refresh.test.ts
+++ b/test/entry/registry/snapshot-refresh.test.ts
@@ -4,7 +4,7 @@
 import { EXTEND_AFTER_MS } from '../../../src/entry/leadership/extensions.ts'
 import { keepSnapshotFresh, POLL_MS } from '../../../src/entry/registry/snapshot-refresh.ts'
 import { followersOf, readersOf } from '../../../src/entry/registry/readers.ts'
-import { UNKNOWN_REGISTRY, type KnownHost, type RegistrySnapshot } from '../../../src/entry/registry/snapshot.ts'
+import { EMPTY_SNAPSHOT, type KnownHost, type RegistrySnapshot } from '../../../src/entry/registry/snapshot.ts'
 import { MONEY } from '../../fixtures/fleet/set-up.ts'
 import { useFakeFleet, World } from '../../fixtures/fleet/world.ts'
 import { seedRandom } from '../../fixtures/seed-random.ts'
@@ -13,20 +13,17 @@
 const HOSTS: KnownHost[] = NAMES.map((name) => ({
   name, version: 1, address: '127.0.0.1', port: 1, failureDomain: 'x', process: 'p'
 }))
-/**
- * Seeds with which the reader or its first deputy took its knowledge for younger than it stayed, or asked only the
- * other one, so that it asked all hosts for an extension.
- */
+/** Seeds in which a reader or backup reader overestimated the freshness of its snapshot, or had too few sources. */
 const SEEDS = [35, 64, 72, 153]
 const FOLLOWERS = followersOf(HOSTS).map(({ name }) => name)
 
-/** What a host asks and receives while the store rejects it, and one other host reads for all. */
-class Rejected {
-  /** Hosts that were asked. */
-  readonly asked = new Set<string>()
-  /** Greatest age that its knowledge reached, in milliseconds. */
-  greatestAgeMs = 0
-  private snapshot: RegistrySnapshot = { ...UNKNOWN_REGISTRY, version: 1, liveHosts: HOSTS, askedAt: performance.now() }
+/** Simulates a host that the store rejects while one other host reads the registry. */
+class RejectedHost {
+  /** Hosts that received a request. */
+  readonly requested = new Set<string>()
+  /** Maximum age of the snapshot, in milliseconds. */
+  maxAgeMs = 0
+  private snapshot: RegistrySnapshot = { ...EMPTY_SNAPSHOT, version: 1, liveHosts: HOSTS, askedAt: performance.now() }
   private readonly stop: () => void
 
   constructor (name: string, reading: string) {
@@ -35,7 +32,7 @@
       current: () => this.snapshot,
       confirmedAgeMs: () => this.ageMs(),
       registeredMs: 15_000,
-      exchange: { askReader: async (reader) => this.ask(reader, reading) },
+      exchange: { requestFromReader: async (reader) => this.request(reader, reading) },
       readAndRegister: async () => false,
       onError: () => {}
     })
@@ -49,9 +46,9 @@
     return performance.now() - this.snapshot.askedAt
   }
 
-  private ask ({ name }: KnownHost, reading: string): boolean {
-    this.greatestAgeMs = Math.max(this.greatestAgeMs, this.ageMs())
-    this.asked.add(name)
+  private request ({ name }: KnownHost, reading: string): boolean {
+    this.maxAgeMs = Math.max(this.maxAgeMs, this.ageMs())
+    this.requested.add(name)
     if (name !== reading) {
       return false
     }
@@ -60,30 +57,30 @@
   }
 }
 
-describe('keepLearning', () => {
+describe('keepSnapshotFresh', () => {
   let clock: Clock
   beforeEach(() => { clock = fakeTimers.install() })
   afterEach(() => clock.uninstall())
 
-  it('lets a deputy that the store rejects ask the deputies after it', async () => {
+  it('lets a backup reader that the store rejects request the snapshot from later backup readers', async () => {
     const [, first, second] = FOLLOWERS
-    const host = new Rejected(first!, second!)
+    const host = new RejectedHost(first!, second!)
     await clock.tickAsync(20_000)
     host.close()
-    expect(host.asked.has(second!)).toEqual(true)
-    expect(host.greatestAgeMs < EXTEND_AFTER_MS).toEqual(true)
+    expect(host.requested.has(second!)).toEqual(true)
+    expect(host.maxAgeMs < EXTEND_AFTER_MS).toEqual(true)
   })
 
-  it('keeps the snapshot of a reader young while the store rejects it', async () => {
-    const host = new Rejected(readersOf(HOSTS)[0]!.name, FOLLOWERS.at(-1)!)
+  it('keeps the snapshot of a reader fresh while the store rejects it', async () => {
+    const host = new RejectedHost(readersOf(HOSTS)[0]!.name, FOLLOWERS.at(-1)!)
     await clock.tickAsync(20_000)
     host.close()
-    expect(host.greatestAgeMs < EXTEND_AFTER_MS).toEqual(true)
+    expect(host.maxAgeMs < EXTEND_AFTER_MS).toEqual(true)
   })
 })
 
-/** Plays a fleet of which the store rejects every third host; returns how many extensions were asked for. */
-async function playRejections (clock: Clock): Promise<number> {
+/** Simulates a fleet of which the store rejects every third host; returns the number of lease extension requests. */
+async function simulateRejections (clock: Clock): Promise<number> {
   const world = new World()
   world.addGroup('g')
   world.configure([MONEY])
@@ -99,13 +96,13 @@
   return world.messagesByType.get('extend') ?? 0
 }
 
-describe('hosts that the store rejects, the reader and its first deputy among them', () => {
+describe('hosts that the store rejects, including the reader and the first backup reader', () => {
   for (const seed of SEEDS) {
-    it(`get the registry from hosts that read: seed ${seed}`, async () => {
+    it(`request no lease extensions, seed ${seed}`, async () => {
       useFakeFleet()
       const restoreRandom = seedRandom(seed)
       const clock = fakeTimers.install()
-      const extensions = await playRejections(clock)
+      const extensions = await simulateRejections(clock)
       clock.uninstall()
       restoreRandom()
       expect(extensions).toEqual(0)
--- a/test/entry/registry/table-copy.test.ts
+++ b/test/entry/registry/table-copy.test.ts
@@ -4,12 +4,12 @@
 
 const row = (key: string, version: number) => ({ key, value: `${key}${version}`, version })
 
-describe('a copy of a table', () => {
-  it('returns nothing before it knows the table', async () => {
+describe('table copy', () => {
+  it('returns undefined before the first read', async () => {
     expect(await createTableCopy().changesSince(undefined, 0)).toEqual(undefined)
   })
 
-  it('returns all to a requester that knows nothing, and changes to one that knows an earlier version', async () => {
+  it('returns all rows without a version, and the changes since an earlier version', async () => {
     const copy = createTableCopy()
     copy.replace([row('a', 1), row('b', 2)], 5)
     copy.update([row('b', 7)], ['a'], 8)
@@ -18,19 +18,19 @@
     expect(await copy.changesSince(8, 0)).toEqual({ version: 8, isWhole: false, rows: [], removed: [] })
   })
 
-  it('returns all to a requester that knows less than what it has followed', async () => {
+  it('returns all rows for a version before its first read', async () => {
     const copy = createTableCopy()
     copy.replace([row('a', 1)], 5)
     expect((await copy.changesSince(4, 0))?.isWhole).toEqual(true)
   })
 
-  it('returns nothing to a requester that knows more', async () => {
+  it('returns undefined for a newer version than its own', async () => {
     const copy = createTableCopy()
     copy.replace([row('a', 1)], 5)
     expect(await copy.changesSince(6, 0)).toEqual(undefined)
   })
 
-  it('does not return a row as removed that exists again', async () => {
+  it('does not report a row as removed after it was added again', async () => {
     const copy = createTableCopy()
     copy.replace([row('a', 1)], 5)
     copy.update([], ['a'], 6)
@@ -38,7 +38,7 @@
     expect(await copy.changesSince(5, 0)).toEqual({ version: 7, isWhole: false, rows: [row('a', 7)], removed: [] })
   })
 
-  it('answers a waiting requester as soon as something changes', async () => {
+  it('answers a waiting request after a change', async () => {
     const copy = createTableCopy()
     copy.replace([], 5)
     const waiting = copy.changesSince(5, 60_000)
--- a/test/entry/registry/table-exchange.test.ts
+++ b/test/entry/registry/table-exchange.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { followersOf, LEAST_FOLLOWERS, orderFor } from '../../../src/entry/registry/readers.ts'
+import { followersOf, MIN_FOLLOWERS, orderFor } from '../../../src/entry/registry/readers.ts'
 import type { KnownHost } from '../../../src/entry/registry/snapshot.ts'
 import { MONEY, setUpWorld } from '../../fixtures/fleet/set-up.ts'
 import { seedRandom } from '../../fixtures/seed-random.ts'
@@ -11,69 +11,69 @@
 }))
 const FOLLOWERS = followersOf(HOSTS).map(({ name }) => name)
 const OTHERS = NAMES.filter((name) => !FOLLOWERS.includes(name))
-/** Time within which a desired state must be in force, in milliseconds; the users' least bound. */
+/** Required time for a desired state to be in force on all hosts, in milliseconds. */
 const IN_FORCE_MS = 3000
 const MORE = [MONEY, { ...MONEY, database: 'more' }]
 
-describe('tables that few hosts follow for all', () => {
+describe('a table change with few followers', () => {
   const suite = setUpWorld(NAMES)
   const versions = () => NAMES.map((name) => suite.world.hosts.get(name)!.kernel.use('desiredState').current?.version)
-  const allHave = (version: number) => versions().every((known) => known === version)
+  const allHaveVersion = (version: number) => versions().every((known) => known === version)
   const calls = () => suite.world.store.calls
 
-  it('reach all hosts at once, with calls of the followers only', async () => {
+  it('reaches all hosts, with store calls by the followers only', async () => {
     await suite.clock.tickAsync(30_000)
     const before = calls()
     suite.world.configure(MORE)
     await suite.clock.tickAsync(400)
-    expect(allHave(2)).toEqual(true)
-    // Each follower gets its answer and asks again; the one reader goes on reading the registry.
-    expect(calls() - before <= 2 * LEAST_FOLLOWERS).toEqual(true)
+    expect(allHaveVersion(2)).toEqual(true)
+    // Each follower receives an answer and sends the next request; the reader continues to read the registry.
+    expect(calls() - before <= 2 * MIN_FOLLOWERS).toEqual(true)
   })
 
-  it('reach hosts whose follower is paused', async () => {
-    const asked = orderFor(OTHERS[0]!, HOSTS, followersOf(HOSTS))[0]!.name
-    suite.world.silent.add(asked)
-    suite.world.store.cutOff.add(asked)
+  it('reaches hosts whose follower is paused', async () => {
+    const follower = orderFor(OTHERS[0]!, HOSTS, followersOf(HOSTS))[0]!.name
+    suite.world.silent.add(follower)
+    suite.world.store.cutOff.add(follower)
     suite.world.configure(MORE)
     await suite.clock.tickAsync(IN_FORCE_MS)
     expect(OTHERS.map((name) => suite.world.hosts.get(name)!.kernel.use('desiredState').current?.version))
       .toEqual(OTHERS.map(() => 2))
   })
 
-  it('reach hosts whose follower has a connection that went silent', async () => {
+  it('reaches hosts whose follower has a hanging connection to the store', async () => {
     suite.world.store.silenceFeeds(orderFor(OTHERS[0]!, HOSTS, followersOf(HOSTS))[0]!.name)
     suite.world.configure(MORE)
     await suite.clock.tickAsync(IN_FORCE_MS / 2)
-    expect(allHave(2)).toEqual(true)
+    expect(allHaveVersion(2)).toEqual(true)
   })
 
-  it('reach a follower that the store has left without an answer, and hosts that ask it', async () => {
-    const asked = orderFor(OTHERS[0]!, HOSTS, followersOf(HOSTS))[0]!.name
-    suite.world.store.silenceFeeds(asked)
-    suite.world.store.cutOff.add(asked)
+  it('reaches a follower that the store does not answer, and the hosts that request the table from it', async () => {
+    const follower = orderFor(OTHERS[0]!, HOSTS, followersOf(HOSTS))[0]!.name
+    suite.world.store.silenceFeeds(follower)
+    suite.world.store.cutOff.add(follower)
     suite.world.configure(MORE)
     await suite.clock.tickAsync(1000)
-    expect(allHave(2)).toEqual(true)
+    expect(allHaveVersion(2)).toEqual(true)
   })
 
-  it('reach hosts that the store rejects, which ask it little', async () => {
+  it('reaches hosts that the store rejects, with few store calls', async () => {
     const rejected = NAMES.filter((_, index) => index % 3 === 0)
     rejected.forEach((name) => suite.world.store.cutOff.add(name))
     const before = calls()
     await suite.clock.tickAsync(9000)
-    // The reader and its deputy ask 12 times each; the followers that are rejected, 7 times a table.
+    // The reader and the first backup reader send 12 requests each; rejected followers, 7 for each table.
     expect(calls() - before < 150).toEqual(true)
     suite.world.configure(MORE)
     await suite.clock.tickAsync(IN_FORCE_MS)
-    expect(allHave(2)).toEqual(true)
+    expect(allHaveVersion(2)).toEqual(true)
   })
 })
 
 describe('hosts that the store rejects', () => {
   const suite = setUpWorld(NAMES)
 
-  it('go on working at primaries for as long as readers answer', async () => {
+  it('can write while readers answer', async () => {
     NAMES.filter((_, index) => index % 3 === 0).forEach((name) => suite.world.store.cutOff.add(name))
     await suite.clock.tickAsync(20_000)
     for (const name of NAMES) {
@@ -81,7 +81,7 @@
     }
   })
 
-  it('ask no majority of all hosts for what a reader returns', async () => {
+  it('request no lease extensions while readers answer', async () => {
     NAMES.filter((_, index) => index % 3 === 0).forEach((name) => suite.world.store.cutOff.add(name))
     await suite.clock.tickAsync(20_000)
     expect(suite.world.messagesByType.get('extend') ?? 0).toEqual(0)
@@ -89,21 +89,15 @@
 })
 
 /**
- * Callers were served by a desired state that had been replaced seconds before, on hosts that the store rejected. A
- * follower whose question to the store fails forgets the version to ask from and asks other followers. It passed over
- * a peer's notification of a change that came in that moment, since it had no version to compare. When the follower
- * that it asked was rejected as well, that one said that nothing was new, which counted as an answer. Two followers
- * told each other so for as long as the store rejected them, and all hosts that asked them stayed behind too. The log
- * of such a host has neither `feed.behind` nor `feed.lost`, and no `desired-state.in-force` of the version. Now a host
- * says that nothing is new only while the store answers it, and `feed.peer-behind` names one that knew less than was
- * told.
+ * Guards against followers that the store rejects and that confirm an outdated table to each other, so that hosts keep
+ * serving callers by a replaced desired state.
  */
-describe('a change that comes soon after the store has begun to reject hosts', () => {
+describe('a change shortly after the store starts to reject hosts', () => {
   let restoreRandom = (): void => {}
   beforeEach(() => { restoreRandom = seedRandom(93) })
   afterEach(() => restoreRandom())
   const suite = setUpWorld(NAMES)
-  const behind = (): string[] =>
+  const outdatedHosts = (): string[] =>
     NAMES.filter((name) => suite.world.hosts.get(name)!.kernel.use('desiredState').current?.version !== 2)
   const changeAfter = async (rejected: string[], leadMs: number): Promise<void> => {
     await suite.clock.tickAsync(5000)
@@ -113,24 +107,24 @@
     await suite.clock.tickAsync(IN_FORCE_MS)
   }
 
-  it('reaches two rejected followers that ask each other, and whoever asks them', async () => {
+  it('reaches rejected followers that request the table from each other, and all other hosts', async () => {
     await changeAfter(['h14', 'h9', 'h10', 'h1', 'h3', 'h2', 'h12', 'h13'], 660)
-    expect(behind()).toEqual([])
+    expect(outdatedHosts()).toEqual([])
   })
 
   for (const leadMs of [0, 150, 300, 450, 600, 800, 1000, 1300]) {
-    it(`reaches all hosts when all followers but one are rejected, ${leadMs} ms before`, async () => {
+    it(`reaches all hosts if all followers except one are rejected ${leadMs} ms before`, async () => {
       await changeAfter(FOLLOWERS.slice(1), leadMs)
-      expect(behind()).toEqual([])
+      expect(outdatedHosts()).toEqual([])
     })
   }
 
-  it('reaches them with few calls to the store', async () => {
+  it('needs few store calls', async () => {
     await suite.clock.tickAsync(5000)
     FOLLOWERS.slice(2).forEach((name) => suite.world.store.cutOff.add(name))
     const before = suite.world.store.calls
     await suite.clock.tickAsync(9000)
-    // A reader reads each 0.75 s, and so do deputies; each rejected follower tries two tables each 1.2 s.
+    // Readers and backup readers read every 0.75 s; each rejected follower requests two tables every 1.2 s.
     expect(suite.world.store.calls - before < 200).toEqual(true)
   })
 })
