--- a/src/entry/desired-state/index.ts
+++ b/src/entry/desired-state/index.ts
@@ -1,6 +1,6 @@
 /**
- * Plug-in `desiredState`: what the operator wants. Which version is in force? The highest that this process has read:
- * its version only rises, and a row that cannot be read changes nothing.
+ * Plug-in `desiredState`: follows the operator's desired state and puts the newest version in force. Versions never
+ * decrease, and an unreadable row changes nothing.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
@@ -10,23 +10,22 @@
 import '../registry/change-notifications.ts'
 import '../registry/table-exchange.ts'
 
-/** Service of the plug-in. */
 export interface DesiredStateInForce {
-  /** The state in force; undefined before the first one is known. */
+  /** The state in force; undefined until the first one has been read. */
   readonly current: DesiredState | undefined
   onChange: (listener: (state: DesiredState) => void) => void
   /**
-   * Waits until a first state is known, for a bounded time.
+   * Waits until a first state is in force.
    *
-   * @param timeoutMs - greatest wait, in milliseconds
-   * @returns whether one is
+   * @param timeoutMs - maximum wait, in milliseconds
+   * @returns whether a state is in force
    */
   waitForFirst: (timeoutMs: number) => Promise<boolean>
   /**
-   * Makes sure that a version or a newer one is in force here, reading the table again when it is not yet.
+   * Waits until a version or a newer one is in force, and reads the table again if it is not in force yet.
    *
    * @param version - the version
-   * @param timeoutMs - greatest wait, in milliseconds
+   * @param timeoutMs - maximum wait, in milliseconds
    * @returns whether it is in force
    */
   ensureVersion: (version: number, timeoutMs: number) => Promise<boolean>
@@ -46,10 +45,10 @@
     const listeners: Array<(state: DesiredState) => void> = []
     let current: DesiredState | undefined
 
-    const isReached = (version: number): boolean => (current?.version ?? -1) >= version
+    const isInForce = (version: number): boolean => (current?.version ?? -1) >= version
     const waiters = createWaiters()
 
-    /** Puts a newer state in force; returns whether there was one. */
+    /** Puts the state in force if it is newer than the current one; returns whether it was. */
     const apply = (rows: StoreRow[]): boolean => {
       const row = rows.find(({ key }) => key === port.key)
       if (row === undefined) {
@@ -72,7 +71,7 @@
         return false
       }
     }
-    let reread = (): void => {}
+    let requestRead = (): void => {}
     const stop = followTable({
       store,
       table: port.table,
@@ -82,19 +81,19 @@
       onRows: apply,
       onChanges: apply,
       onStoreUnavailable: context.use('registry').onStoreUnavailable,
-      onReadRequest: (listener) => { reread = listener }
+      onReadRequest: (listener) => { requestRead = listener }
     })
     return {
       service: {
         get current () { return current },
         onChange: (listener) => { listeners.push(listener) },
-        waitForFirst: async (timeoutMs) => await waiters.until(() => isReached(0) || undefined, timeoutMs) ?? false,
+        waitForFirst: async (timeoutMs) => await waiters.until(() => isInForce(0) || undefined, timeoutMs) ?? false,
         ensureVersion: async (version, timeoutMs) => {
-          if (isReached(version)) {
+          if (isInForce(version)) {
             return true
           }
-          reread()
-          return await waiters.until(() => isReached(version) || undefined, timeoutMs) ?? false
+          requestRead()
+          return await waiters.until(() => isInForce(version) || undefined, timeoutMs) ?? false
         }
       },
       dump: () => ({ version: current?.version, routes: current?.routes.size }),
--- a/test/entry/process/explore-desired-state.test.ts
+++ b/test/entry/process/explore-desired-state.test.ts
@@ -4,12 +4,12 @@
 import { desiredStatePlayer, drawn, explore, singles } from '../../fixtures/fleet/explorer.ts'
 import { useFakeFleet } from '../../fixtures/fleet/world.ts'
 
-/** Messages from the first change on that are disturbed, one at a time in every way. */
+/** Number of messages after the first change that are disturbed, one at a time, in every way. */
 const POINTS = 30
-/** Schedules with three disturbances that are drawn. */
+/** Randomly drawn schedules, with three disturbances each. */
 const DRAWN = { count: 30, depth: 3, seed: 12 }
 
-describe('desired states change while messages are lost, late, repeated or held', () => {
+describe('desired state changes with lost, late, repeated or held messages', () => {
   let clock: Clock
   beforeEach(() => {
     useFakeFleet()
@@ -17,20 +17,20 @@
   })
   afterEach(() => { clock.uninstall() })
 
-  it('they only rise, and the last one comes in force: every single disturbance', async () => {
+  it('never decrease the version, and put the last one in force: each single disturbance', async () => {
     expect(await explore(clock, desiredStatePlayer(), singles(POINTS))).toEqual([])
   })
 
-  it('they only rise, and the last one comes in force: some of three', async () => {
+  it('never decrease the version, and put the last one in force: random schedules of three disturbances', async () => {
     const schedules = drawn(DRAWN.count, DRAWN.depth, POINTS, DRAWN.seed)
     expect(await explore(clock, desiredStatePlayer(), schedules)).toEqual([])
   })
 
-  it('they only rise when a read shows what was there before', async () => {
+  it('never decrease the version when a read is stale', async () => {
     expect(await explore(clock, desiredStatePlayer(), singles(POINTS, ['stale']))).toEqual([])
   })
 
-  it('shows a seeded bug: every desired state counts as newer', async () => {
+  it('find a seeded bug: each desired state is taken for a newer one', async () => {
     const found = await explore(clock, desiredStatePlayer(true), singles(POINTS, ['stale']))
     expect(found.length > 0).toEqual(true)
   })
--- a/test/entry/process/routes.test.ts
+++ b/test/entry/process/routes.test.ts
@@ -3,15 +3,15 @@
 import { checkRoutes, type RoutedRequest, type RoutesInForce } from '../../fixtures/fleet/history.ts'
 import { MONEY, setUpWorld } from '../../fixtures/fleet/set-up.ts'
 
-/** Time after which all hosts handle requests by a desired state, in milliseconds; the users' bound. */
+/** Required time for a desired state to be in force on all hosts, in milliseconds. */
 const APPLY_MS = 3000
 const HOSTS = ['h1', 'h2', 'h3']
 const REQUEST_EVERY_MS = 30
 
-describe('routes that change', () => {
+describe('changing routes', () => {
   const suite = setUpWorld(HOSTS)
 
-  /** Plays desired states one after the other under load, and collects what became of each request. */
+  /** Applies desired states in sequence under load, and checks the outcome of each request. */
   const play = async (states: Array<{ atMs: number, group: string | undefined }>, lengthMs: number) => {
     const { world, clock } = suite
     const startedAt = performance.now()
@@ -35,7 +35,7 @@
     expect(performance.now() > startedAt).toEqual(true)
     return checkRoutes({ requests, inForce, runs: world.upstreams.runs, applyMs: APPLY_MS })
   }
-  /** A second group, known before the first request. */
+  /** Adds a second group, and waits until all hosts know it. */
   const addSecondGroup = async (): Promise<void> => {
     suite.world.addGroup('k')
     suite.world.configure([MONEY, { ...MONEY, database: 'second', group: 'k' }])
@@ -43,12 +43,12 @@
   }
   const STATES = [{ atMs: 600, group: 'k' }, { atMs: 5000, group: undefined }, { atMs: 9500, group: 'g' }]
 
-  it('are in force on every host within the bound, and never go back', async () => {
+  it('are in force on every host within the required time, and never revert', async () => {
     await addSecondGroup()
     expect(await play(STATES, 14_000)).toEqual([])
   })
 
-  it('are in force in time when feeds have gone silent and history is lost', async () => {
+  it('are in force within the required time when long polls hang and the store has dropped its history', async () => {
     await addSecondGroup()
     suite.world.store.silenceFeeds('h1')
     suite.world.store.silenceFeeds('h2')
@@ -56,7 +56,7 @@
     expect(await play(STATES, 14_000)).toEqual([])
   })
 
-  it('bind a transaction that is open to the route with which it began', async () => {
+  it('keep an open transaction on the route with which it began', async () => {
     await addSecondGroup()
     const caller = suite.world.connect('h1', MONEY.database)
     await suite.settle(caller.send({ type: 'begin', readOnly: false }), 20)
@@ -72,7 +72,7 @@
     expect([first, second, next].map(({ id }) => groupOf(id))).toEqual(['g', 'g', 'k'])
   })
 
-  it('are found wrong in histories that break a rule', () => {
+  it('fail the check for histories that violate a rule', () => {
     const base = { connection: 1, host: 'h1', organisation: '', text: '', values: {}, inTransaction: false }
     const inForce = [{ since: -Infinity, group: 'g' }, { since: 1000, group: 'k' }]
     const request = (sentAt: number, id = 'r1'): RoutedRequest => ({ id, host: 'h1', sentAt, refused: false })
