--- a/src/entry/store/index.ts
+++ b/src/entry/store/index.ts
@@ -1,4 +1,4 @@
-/** Plug-in `store`: the store with the time of each call measured. */
+/** Plug-in `store`: the store, with metrics of the duration of its calls. */
 import { registerPlugin } from '../../core/kernel/index.ts'
 import type { StorePort } from '../ports/index.ts'
 
