--- a/src/entry/organisations/identify.ts
+++ b/src/entry/organisations/identify.ts
@@ -1,13 +1,11 @@
 /**
- * On behalf of which organisation is a caller served? Inputs: the keys and organisations of the desired state, the
- * route, and the digest of the caller's key. The organisation that holds the key; none where the route needs none;
- * otherwise the caller is refused. Looked up for each statement outside a transaction, so that a key that is withdrawn
- * or moved to another organisation takes effect with the next one.
+ * Finds the organisation on whose behalf a caller's statements run. It is looked up for each statement outside a
+ * transaction, so that a revoked or reassigned key takes effect with the next one.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { DesiredState, Organisation, Route } from '../ports/index.ts'
 
-/** Organisation of callers without one, on routes that need no key. */
+/** Used for callers without an organisation, on routes that need no key. */
 const NO_ORGANISATION: Organisation = { name: '' }
 
 /**
@@ -15,9 +13,9 @@
  *
  * @param state - the desired state in force
  * @param route - the route of the caller's database
- * @param keyDigest - digest of the key that the caller named
- * @returns the organisation; {@link NO_ORGANISATION} where none is needed and none holds the key
- * @throws RequestError `UnknownKey` with verdict `not-run`
+ * @param keyDigest - digest of the caller's key
+ * @returns the organisation; {@link NO_ORGANISATION} if none holds the key and the route needs none
+ * @throws RequestError `UnknownKey` with verdict `not-run`, if none holds the key and the route needs one
  */
 export function identifyOrganisation (
   { keys, organisations }: Pick<DesiredState, 'keys' | 'organisations'>, { needsKey, database }: Route, keyDigest: string
