--- a/src/entry/ports/statements.ts
+++ b/src/entry/ports/statements.ts
@@ -1,17 +1,16 @@
-/** Statements of callers and their answers, whatever protocol carries them. */
+/** Statements of callers and the answers to them, independent of the protocol. */
 import type { Verdict } from '../../core/errors/index.ts'
 import type { LogPosition } from '../../positions/position.ts'
 
-/** Whether a statement reads or writes. */
 export type Access = 'read' | 'write'
 
-/** A prepared statement: what it does to which shape of query. */
+/** A prepared statement: its access, and the shape of its query. */
 export interface PreparedShape {
   access: Access
   shape: string
 }
 
-/** A statement as a caller sends it. `text` is the caller's own wording, passed on unchanged. */
+/** A statement from a caller; `text` is passed on unchanged. */
 export type CallerStatement =
   | { type: 'begin', readOnly: boolean }
   | { type: 'commit', text: string }
@@ -23,62 +22,60 @@
   | { type: 'deallocate', name: string }
   | { type: 'malformed', reason: string }
 
-/** Where a session stands: outside a transaction, inside one, or inside one that can only be rolled back. */
+/** State of a session: outside a transaction, inside one, or inside one that can only be rolled back. */
 export type TransactionState = 'idle' | 'open' | 'failed'
 
-/** Why a statement was not answered with success. */
+/** Reason why a statement failed. */
 export type FailureKind =
   | 'busy' | 'aborted' | 'lagging' | 'read-only' | 'misrouted' | 'too-many-connections'
   | 'failed' | 'timeout' | 'in-doubt'
   | 'unknown-database' | 'unknown-key' | 'unknown-statement' | 'too-large' | 'malformed'
 
-/** A failed statement. */
 interface StatementFailure {
   kind: FailureKind
   message: string
 }
 
-/** The answer to a statement. */
 export interface StatementAnswer {
   rows: string[]
-  /** Proof of the upstream that it ran the statement; undefined when worksward answered by itself. */
+  /** The upstream's proof that it ran the statement; undefined if no upstream answered. */
   signature?: string
   failure?: StatementFailure
   state: TransactionState
-  /** End of the log of the upstream that answered; undefined when worksward answered by itself. */
+  /** End of the log of the upstream that answered; undefined if no upstream answered. */
   position?: LogPosition
 }
 
-/** A request of a caller: its id in all logs, and the statement. */
+/** A statement from a caller, with the request id that identifies it in all logs. */
 export interface CallerRequest {
   id: string
   statement: CallerStatement
 }
 
-/** Serves one caller's connection. */
+/** Serves the connection of one caller. */
 export interface CallerHandler {
   /**
-   * Serves one request; the listener sends the next one only when this has been answered.
+   * Serves one request. The listener sends the next one after the answer.
    *
    * @param request - the request
    * @returns the answer; never rejects
    */
   serve: (request: CallerRequest) => Promise<StatementAnswer>
-  /** The connection is gone. */
+  /** Called after the connection has been closed. */
   close: () => void
 }
 
-/** A caller's connection, as its handler sees it. */
+/** A caller's connection, as its handler uses it. */
 export interface CallerLink {
   database: string
-  /** Digest of the key that the caller named; the key itself stays with the port. */
+  /** Digest of the caller's key; the key itself is not passed on. */
   keyDigest: string
-  /** Ends the connection once the answer in progress has been sent. */
+  /** Closes the connection after the pending answer has been sent. */
   end: () => void
 }
 
-/** Kinds of failure after which an upstream has certainly not run the statement. */
-const NOT_RUN: ReadonlySet<FailureKind> =
+/** Failures after which the upstream has certainly not run the statement. */
+const NOT_RUN_FAILURES: ReadonlySet<FailureKind> =
   new Set(['busy', 'lagging', 'read-only', 'misrouted', 'too-many-connections', 'unknown-statement'])
 
 /**
@@ -88,5 +85,5 @@
  * @returns whether the statement may have run
  */
 export function verdictOf (kind: FailureKind): Verdict {
-  return NOT_RUN.has(kind) ? 'not-run' : 'may-have-run'
+  return NOT_RUN_FAILURES.has(kind) ? 'not-run' : 'may-have-run'
 }
--- a/src/entry/ports/types.ts
+++ b/src/entry/ports/types.ts
@@ -1,38 +1,38 @@
-/** The ports of the entry process. */
+/** Ports through which the entry process uses callers, upstreams and the platform. */
 import type { Endpoint } from '../../core/wire/dialer.ts'
 import type { LogPosition } from '../../positions/position.ts'
 import type { CallerHandler, CallerLink, PreparedShape, StatementAnswer } from './statements.ts'
 
-/** A listening socket for callers. */
+/** A socket that accepts callers. */
 interface CallerListener {
   readonly connections: number
-  /** Takes no further connections; those that are open go on. */
+  /** Stops accepting connections; open ones stay open. */
   stopAccepting: () => void
-  /** Stops listening and breaks what is left. */
+  /** Stops listening, and closes the remaining connections. */
   close: () => Promise<void>
 }
 
-/** Takes callers. */
+/** Accepts connections from callers. */
 export interface CallerPort {
   /**
    * Listens for callers.
    *
-   * @param endpoint - where
-   * @param accept - makes the handler of a new connection
+   * @param endpoint - address and port to listen on
+   * @param accept - creates the handler of a new connection
    * @returns the listener
    */
   listen: (endpoint: Endpoint, accept: (link: CallerLink) => CallerHandler) => Promise<CallerListener>
 }
 
-/** What an upstream says of itself. */
+/** State that an upstream reports of itself. */
 export interface UpstreamReport {
   role: 'primary' | 'replica'
   term: number
-  /** End of what it has received. */
+  /** End of the log that it has received. */
   received: LogPosition
 }
 
-/** What is sent to an upstream. Own statements carry no caller's request id. */
+/** A command to an upstream. Commands without a `requestId` originate in this process. */
 export type UpstreamCommand =
   | { type: 'data', requestId: string, text: string, after?: LogPosition }
   | { type: 'execute', requestId: string, name: string, parameters: string, after?: LogPosition }
@@ -44,208 +44,202 @@
   | { type: 'deallocate', name: string }
   | { type: 'reset' }
 
-/** A connection to an upstream; one command at a time. */
+/** A connection to an upstream, which runs one command at a time. */
 export interface UpstreamConnection {
   /**
    * Runs a command.
    *
    * @param command - the command
    * @returns the upstream's answer
-   * @throws RequestError `ConnectionLost`: `not-run` before it was sent, `may-have-run` after
+   * @throws RequestError `ConnectionLost` with verdict `not-run` if the command was not sent, else `may-have-run`
    */
   run: (command: UpstreamCommand) => Promise<StatementAnswer>
-  /** Asks the upstream for its state. */
+  /** Requests the upstream's state. */
   status: () => Promise<UpstreamReport>
-  /** Makes a primary of a lower term a replica, and returns its state. */
+  /** Demotes a primary of a lower term to a replica, and returns its state. */
   demote: (term: number) => Promise<UpstreamReport>
   readonly closed: boolean
   onClose: (listener: () => void) => void
   close: () => void
 }
 
-/** Which upstream to connect to. */
+/** The upstream to connect to. */
 export interface UpstreamTarget {
   group: string
-  /** Identity of the upstream; another one at the same address refuses. */
+  /** Identity of the upstream; a different upstream at the same endpoint refuses the connection. */
   upstream: string
   endpoint: Endpoint
 }
 
-/** For whom a connection is opened. */
+/** Purpose and time limit of a connection. */
 interface ConnectionUse {
   /** Name of the organisation whose statements it carries; empty for none. */
   organisation: string
-  /** Greatest wait, in milliseconds. */
+  /** Maximum time to connect, in milliseconds. */
   timeoutMs: number
 }
 
-/** Opens connections to upstreams. */
 export interface UpstreamPort {
   /**
    * Opens a connection.
    *
    * @param target - the upstream
-   * @param use - for whom, and the greatest wait
+   * @param use - purpose and time limit
    * @returns the connection
    * @throws RequestError with verdict `not-run`: `UpstreamUnreachable`, or `UpstreamRefused` with its reason
    */
   open: (target: UpstreamTarget, use: ConnectionUse) => Promise<UpstreamConnection>
 }
 
-/** A row of a table in the store. */
 export interface StoreRow {
   key: string
   value: string
-  /** Raised with every change of any row. */
+  /** Version of the row's last change; increases with each change of any row. */
   version: number
 }
 
-/** Rows of a table as of one moment. */
+/** All rows of a table at one version. */
 export interface StoreSnapshot {
   rows: StoreRow[]
   version: number
-  /** Time of the store's steady clock, in milliseconds. */
+  /** Time on the store's monotonic clock, in milliseconds. */
   nowMs: number
 }
 
-/** What has changed in a table: each key once, as it now is. */
+/** Changes of a table. Each key appears once, in its current state. */
 export interface StoreChanges {
   changed: StoreRow[]
   removed: string[]
-  /** Version of the newest of these changes; 0 when there are none. */
+  /** Version of the newest change; 0 if there are none. */
   newest: number
-  /** Version of the store that the next question continues from. */
+  /** Version to continue from with the next request. */
   version: number
 }
 
-/** A write of several rows of a table, all or none. */
+/** An atomic write of rows of one table. */
 export interface StoreTransaction {
   table: string
-  /** Versions that rows must have; 0 when a row must not exist. */
+  /** Required versions of rows; 0 if a row must not exist. */
   expected: Array<{ key: string, version: number }>
   put: Array<{ key: string, value: string }>
   remove?: string[]
 }
 
-/** The store in which everything that must last is kept. Each call fails with `PlatformUnavailable`. */
+/** The durable store. Its calls throw `PlatformUnavailable` on failure. */
 export interface StorePort {
-  /** Reads a whole table; linearizable. */
+  /** Reads all rows of a table; linearizable. */
   list: (table: string) => Promise<StoreSnapshot>
   /**
    * Waits for changes of a table.
    *
    * @param table - the table
-   * @param after - version of the last change that is known
-   * @param waitMs - time after which an empty answer comes, in milliseconds
-   * @param signal - gives the question up
-   * @returns the changes, or undefined when the history since then is gone
+   * @param after - version to continue from
+   * @param waitMs - time after which an empty answer is returned, in milliseconds
+   * @param signal - aborts the request
+   * @returns the changes; undefined if the store no longer has the history since `after`
    */
   follow: (table: string, after: number, waitMs: number, signal: AbortSignal) => Promise<StoreChanges | undefined>
   /**
    * Writes rows.
    *
-   * @param transaction - the rows and what they must have been
-   * @returns whether the conditions held
+   * @param transaction - the rows and their required versions
+   * @returns whether the required versions matched
    */
   write: (transaction: StoreTransaction) => Promise<boolean>
 }
 
-/** An upstream in the directory. */
 export interface DirectoryEntry {
   upstream: string
   group: string
   endpoint: Endpoint
   failureDomain: string
   slots: number
-  /** Whether it is about to end. */
+  /** Whether it is about to stop. */
   draining: boolean
-  /** Whether it takes itself for the primary. */
+  /** Whether it considers itself the primary. */
   claimsPrimary: boolean
-  /**
-   * When it started, in milliseconds of its clock; undefined where it does not say so. One that started again holds
-   * nothing of what it held before.
-   */
+  /** Start time on its own clock, in milliseconds; undefined if not reported. A restart loses all of its data. */
   bornAt?: number
 }
 
-/** The upstreams that exist, as rows of a table. */
+/** Access to the upstreams' rows in the store. */
 export interface DirectoryPort {
   table: string
-  /** Decodes a row; undefined when it cannot be read. */
+  /** Decodes a row; returns undefined if it is unreadable. */
   decode: (row: StoreRow) => DirectoryEntry | undefined
 }
 
-/** How fresh a route's reads must be. */
+/** Required freshness of a route's reads. */
 export type Freshness =
   | { type: 'primary' }
   | { type: 'bounded', maximumAgeMs: number }
   | { type: 'session', maximumAgeMs: number }
 
-/** How much an organisation may ask for, on all hosts together, counted in single statements and in transactions. */
+/** Rate limit of an organisation over all hosts; an operation is a transaction or a single statement outside of one. */
 export interface OperationLimit {
-  /** Operations a second in the long run. */
+  /** Sustained rate, in operations per second. */
   perSecond: number
-  /** Operations beyond that at a time. */
+  /** Operations permitted at once beyond the rate. */
   burst: number
 }
 
-/** Whose callers are served. */
+/** An organisation on whose behalf statements run. */
 export interface Organisation {
   name: string
-  /** What it may ask for; undefined where that is not limited. */
+  /** Its rate limit; undefined if there is none. */
   limit?: OperationLimit
 }
 
-/** How requests for one database are served. */
+/** Rules for the requests to one database. */
 export interface Route {
   name: string
   database: string
   group: string
   freshness: Freshness
-  /** Time a statement may take, in milliseconds. */
+  /** Time limit of a statement, in milliseconds. */
   timeoutMs: number
-  /** Time within which an operation should be done, in milliseconds. */
+  /** Target duration of an operation, in milliseconds. */
   targetMs: number
-  /** 0 goes first. */
+  /** 0 is the highest priority. */
   priority: number
-  /** Whether only callers that name a key of an organisation are served. */
+  /** Whether callers must present a key of an organisation. */
   needsKey: boolean
 }
 
-/** The operator's wishes. */
+/** Configuration by the operator. */
 export interface DesiredState {
   version: number
   /** Routes by database. */
   routes: Map<string, Route>
   /** Organisations by name. */
   organisations: Map<string, Organisation>
-  /** Names of the organisations that hold keys, by the digests of these. */
+  /** Names of organisations by the digests of their keys. */
   keys: Map<string, string>
-  /** Greatest number of connections to one upstream of a group, from all hosts together. */
+  /** Maximum number of connections to each upstream of a group, from all hosts together. */
   connectionCaps: Map<string, number>
-  /** Time a transaction may rest, in milliseconds. */
+  /** Maximum idle time of a transaction, in milliseconds. */
   transactionIdleMs: number
 }
 
-/** The desired state, as a row of a table. */
+/** Access to the desired state's row in the store. */
 export interface DesiredStatePort {
   table: string
   key: string
-  /** Decodes the row's value; throws when it cannot be read. */
+  /** Decodes the row's value; throws if it is unreadable. */
   decode: (value: string) => DesiredState
 }
 
-/** Outcome of an order to promote. */
+/** Outcome of a promotion order; `not-running` if the upstream does not run. */
 type PromotionOutcome = 'accepted' | 'not-running'
 
-/** Makes an upstream the primary of its group. */
+/** Promotes upstreams to primary. */
 export interface PromotionPort {
   /**
    * Orders a promotion.
    *
-   * @param order - group, upstream, the host that may order it, and the fencing token of its lease
+   * @param order - group, upstream, the host that orders it, and the fencing token of its lease
    * @returns the outcome
-   * @throws WorkswardError `PlatformUnavailable`; the order may have been taken all the same
+   * @throws WorkswardError `PlatformUnavailable`; the order may have been accepted
    */
   promote: (order: { group: string, upstream: string, holder: string, fence: number }) => Promise<PromotionOutcome>
 }
--- a/src/entry/ports/upstream-unreachable.ts
+++ b/src/entry/ports/upstream-unreachable.ts
@@ -1,10 +1,10 @@
-/** The error of an attempt to connect to an upstream that failed without an answer from it. */
+/** Error for a failed attempt to connect to an upstream that sent no answer. */
 import { RequestError } from '../../core/errors/index.ts'
 
-/** Whether the host of the upstream refused or reset the connection, or nothing was heard of it. */
+/** Whether the upstream's host refused or reset the connection, or did not respond. */
 export type UnreachableFault = 'refused' | 'silent'
 
-/** `ConnectionLost` with verdict `not-run`, and how the attempt failed. */
+/** `ConnectionLost` with verdict `not-run`, and the way in which the attempt failed. */
 export class UpstreamUnreachable extends RequestError<'ConnectionLost'> {
   readonly fault: UnreachableFault
 
