--- a/src/entry/start-entry.ts
+++ b/src/entry/start-entry.ts
@@ -1,4 +1,4 @@
-/** The process `worksward-entry`: takes callers on every entry host, and makes primaries together with its peers. */
+/** Process `worksward-entry`: serves callers on each entry host, and manages failovers together with its peers. */
 import '../../platform/index.ts'
 import './desired-state/index.ts'
 import './directory/index.ts'
--- a/test/entry/process/trouble.test.ts
+++ b/test/entry/process/trouble.test.ts
@@ -6,15 +6,15 @@
 import { FAULT_NAMES, playTrouble } from '../../fixtures/fleet/trouble.ts'
 import { useFakeFleet } from '../../fixtures/fleet/world.ts'
 
-/** Seeds that every run of the tests plays. */
+/** Seeds of the simulated fault sequences. */
 const SEEDS = [1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12]
-/** Seeds that have failed, and why. */
+/** Seeds that guard against fixed faults. */
 const FAILED_SEEDS = [
-  // A primary of an earlier term that had come back from a crash was taken for the successor.
+  // Guards against taking a restarted primary of an earlier term for the successor.
   58, 78, 102, 103, 106, 109, 124, 190
 ]
 
-describe('entry processes in trouble', () => {
+describe('entry processes under faults', () => {
   let clock: Clock
   beforeEach(() => {
     useFakeFleet()
@@ -23,7 +23,7 @@
   afterEach(() => { clock.uninstall() })
 
   for (const fault of FAULT_NAMES) {
-    it(`keeps every promise while ${fault} strikes again and again`, async () => {
+    it(`violate no guarantee under repeated ${fault}`, async () => {
       const evidence = await playTrouble(clock, 100, { only: [fault] })
       expect(checkAll(evidence)).toEqual([])
       expect(evidence.operations.filter(({ answer }) => answer.failure === undefined).length > 100).toEqual(true)
@@ -31,14 +31,14 @@
   }
 
   for (const seed of [...SEEDS, ...FAILED_SEEDS]) {
-    it(`keeps every promise in mixed trouble, seed ${seed}`, async () => {
+    it(`violate no guarantee under mixed faults, seed ${seed}`, async () => {
       const evidence = await playTrouble(clock, seed)
       expect({ faults: evidence.faults, found: checkAll(evidence) }).toEqual({ faults: evidence.faults, found: [] })
     })
   }
 })
 
-describe('five entry processes in trouble', () => {
+describe('five entry processes under faults', () => {
   let clock: Clock
   beforeEach(() => {
     useFakeFleet()
@@ -47,26 +47,26 @@
   afterEach(() => { clock.uninstall() })
 
   for (const seed of SEEDS) {
-    it(`keep every promise while writes are carried out late, seed ${seed}`, async () => {
+    it(`violate no guarantee under delayed store writes, seed ${seed}`, async () => {
       const only = ['storeWritesLate', 'crashPrimary', 'primaryLeaves', 'hostCutOff']
       const evidence = await playTrouble(clock, seed, { many: true, only })
       expect({ faults: evidence.faults, found: checkAll(evidence) }).toEqual({ faults: evidence.faults, found: [] })
     })
-    it(`keep every promise in mixed trouble, seed ${seed}`, async () => {
+    it(`violate no guarantee under mixed faults, seed ${seed}`, async () => {
       const evidence = await playTrouble(clock, seed, { many: true })
       expect({ faults: evidence.faults, found: checkAll(evidence) }).toEqual({ faults: evidence.faults, found: [] })
     })
   }
 })
 
-describe('the checks of a history', () => {
+describe('checks of a history', () => {
   const base: Omit<Operation, 'id' | 'type' | 'answer'> = {
     session: 1, group: 'g', maximumAgeMs: 0, ownWrites: false, startedAt: 0, endedAt: 1
   }
   const done: StatementAnswer = { rows: [], signature: 's', state: 'idle' }
   const write: Operation = { ...base, id: 'w', type: 'write', answer: done }
   const run = { connection: 1, host: 'h1', organisation: '', text: '', values: {}, inTransaction: false }
-  const sound: Evidence = {
+  const valid: Evidence = {
     operations: [write, { ...base, id: 'r', type: 'read', startedAt: 5, endedAt: 6, answer: { ...done, rows: ['w'] } }],
     runs: [{ ...run, upstream: 'a', requestId: 'w', at: 1 }],
     promotions: [],
@@ -74,23 +74,23 @@
     finalLogs: new Map([['g', ['w']]])
   }
   const promotion = { group: 'g', upstream: 'b', at: 0, holder: 'h1', fence: 2 }
-  const broken: Record<keyof typeof checks, Evidence> = {
-    checkStaleReads: { ...sound, operations: [write, { ...sound.operations[1]!, answer: { ...done, rows: ['x'] } }] },
-    checkKeptOnce: { ...sound, finalLogs: new Map([['g', ['w', 'w']]]) },
+  const invalid: Record<keyof typeof checks, Evidence> = {
+    checkStaleReads: { ...valid, operations: [write, { ...valid.operations[1]!, answer: { ...done, rows: ['x'] } }] },
+    checkKeptOnce: { ...valid, finalLogs: new Map([['g', ['w', 'w']]]) },
     checkPromises: {
-      ...sound,
+      ...valid,
       operations: [{ ...write, answer: { rows: [], state: 'idle', failure: { kind: 'busy', message: '' } } }]
     },
-    checkOnePrimary: { ...sound, promotions: [promotion] },
-    checkFences: { ...sound, promotions: [{ ...promotion, upstream: 'a' }, { ...promotion, upstream: 'a', fence: 1 }] }
+    checkOnePrimary: { ...valid, promotions: [promotion] },
+    checkFences: { ...valid, promotions: [{ ...promotion, upstream: 'a' }, { ...promotion, upstream: 'a', fence: 1 }] }
   }
 
-  it('find nothing wrong with a sound history', () => {
-    expect(checkAll(sound)).toEqual([])
+  it('report nothing for a valid history', () => {
+    expect(checkAll(valid)).toEqual([])
   })
   for (const name of Object.keys(checks) as Array<keyof typeof checks>) {
-    it(`catch a broken one: ${name}`, () => {
-      expect(checks[name](broken[name]).length).toEqual(1)
+    it(`report a violation: ${name}`, () => {
+      expect(checks[name](invalid[name]).length).toEqual(1)
     })
   }
 })
