--- a/src/entry/registry/registry-state.ts
+++ b/src/entry/registry/registry-state.ts
@@ -14,6 +14,7 @@
   confirmedAgeMs: () => number
   /** This host's row, written by any of its processes; undefined if there is none. */
   ownHost: () => KnownHost | undefined
+  /** Other hosts that are registered and not retired. */
   otherHosts: () => KnownHost[]
   /** Replaces the snapshot; ignores one of a lower version, or of the same version and an earlier request time. */
   accept: (snapshot: RegistrySnapshot) => void
--- a/src/entry/registry/snapshot.ts
+++ b/src/entry/registry/snapshot.ts
@@ -10,6 +10,7 @@
 /** Row of a host, with its name. */
 export interface KnownHost extends HostRow {
   name: string
+  /** Version of the row. */
   version: number
 }
 
--- a/test/entry/registry/snapshot-refresh.test.ts
+++ b/test/entry/registry/snapshot-refresh.test.ts
@@ -13,7 +13,7 @@
 const HOSTS: KnownHost[] = NAMES.map((name) => ({
   name, version: 1, address: '127.0.0.1', port: 1, failureDomain: 'x', process: 'p'
 }))
-/** Seeds in which a reader or backup reader overestimated the freshness of its snapshot, or had too few sources. */
+/** Seeds that guard against overestimated freshness of a snapshot, and against too few sources for a rejected host. */
 const SEEDS = [35, 64, 72, 153]
 const FOLLOWERS = followersOf(HOSTS).map(({ name }) => name)
 
