--- a/src/entry/leadership/failover.ts
+++ b/src/entry/leadership/failover.ts
@@ -170,7 +170,7 @@
     writtenBy: registry.self.name,
     succession: ''
   })
-  registry.nudgePeers()
+  registry.requestPeerRefresh()
   logger.log('info', 'failover.done', { group, upstream: written?.primary, epoch: written?.epoch, term: written?.term })
   return written?.state === 'open' ? written.primary : undefined
 }
--- a/src/entry/requests/caller-route.ts
+++ b/src/entry/requests/caller-route.ts
@@ -3,7 +3,7 @@
  * keeps the route with which it began.
  */
 import { RequestError } from '../../core/errors/index.ts'
-import { identify } from '../organisations/identify.ts'
+import { identifyOrganisation } from '../organisations/identify.ts'
 import type { CallerLink, DesiredState, Organisation, Route } from '../ports/index.ts'
 
 /** Route of a caller's requests, and the organisation on whose behalf they run. */
@@ -27,7 +27,7 @@
   if (state === undefined || route === undefined) {
     throw new RequestError('not-run', 'UnknownGroup', { group: database })
   }
-  return { route, organisation: identify(state, route, keyDigest) }
+  return { route, organisation: identifyOrganisation(state, route, keyDigest) }
 }
 
 /**
--- a/src/entry/requests/index.ts
+++ b/src/entry/requests/index.ts
@@ -71,7 +71,7 @@
         context: entryContext,
         link,
         desiredState: () => desiredState.current,
-        waitForDesiredState: desiredState.known,
+        waitForDesiredState: desiredState.waitForFirst,
         onDone: metrics.recordRequest,
         onClose: () => sessions.delete(session)
       })
--- a/src/entry/requests/serve-forwarded.ts
+++ b/src/entry/requests/serve-forwarded.ts
@@ -33,7 +33,7 @@
   context: PrimaryContext & Pick<EntryContext, 'costs' | 'logger'>
   peers: Pick<Peers, 'handle'>
   registry: Pick<Registry, 'current' | 'refresh'>
-  desiredState: Pick<DesiredStateInForce, 'reach'>
+  desiredState: Pick<DesiredStateInForce, 'ensureVersion'>
   /** Maximum idle time of a transaction between two steps, in milliseconds. */
   idleMs: () => number
   /** Whether this process is shutting down. */
@@ -171,7 +171,7 @@
 async function awaitVersion (
   { desiredState }: ForwardedOptions, { group, version }: RequestScope
 ): Promise<void> {
-  if (!await desiredState.reach(version, VERSION_WAIT_MS)) {
+  if (!await desiredState.ensureVersion(version, VERSION_WAIT_MS)) {
     const reason = `version ${version} of the desired state is not in force here yet`
     throw new RequestError('not-run', 'NoUpstream', { group, reason, retryAfterMs: RETRY_PAUSE_MS })
   }
