--- a/src/entry/homes/index.ts
+++ b/src/entry/homes/index.ts
@@ -5,17 +5,17 @@
 import { createHomeChoice, type HomeChoice } from './home-choice.ts'
 import { createHomeWatch, type HomeWatch } from './home-watch.ts'
 import type { HomeReply } from './messages.ts'
-import { createPassOn, homeSilent, type PassedOn } from './pass-on.ts'
+import { createPassOn, homeSilent, type ForwardRequest } from './pass-on.ts'
 import { createUpstreamHomes } from './upstream-homes.ts'
 
 export * from './messages.ts'
-export type { PassedOn } from './pass-on.ts'
+export type { ForwardRequest } from './pass-on.ts'
 
 /**
  * What the answer of a home may take beyond the time that a statement has left, in milliseconds: the refusal of the
  * home itself comes first.
  */
-export const HOP_GRACE_MS = 30
+export const FORWARDING_GRACE_MS = 30
 
 /** Whether a host answers this one: not known before it has been asked anything. */
 type Reachability = 'answers' | 'silent' | 'unknown'
@@ -44,7 +44,7 @@
    * @returns the answer
    * @throws RequestError with the verdict on whether it may have run
    */
-  ask: (home: KnownHost, passed: PassedOn) => Promise<HomeReply>
+  forward: (home: KnownHost, passed: ForwardRequest) => Promise<HomeReply>
   /**
    * Makes sure that a home is alive before it gets what must not be in doubt: probes it, unless it has answered just
    * now.
@@ -54,7 +54,7 @@
    */
   ensureAlive: (home: KnownHost) => Promise<void>
   /** Statements that this host has in progress at an upstream through its homes. */
-  loadOf: (upstream: string) => number
+  inProgressAt: (upstream: string) => number
   /** Whether a host answers, as far as this host has seen. */
   reachability: (host: KnownHost) => Reachability
   /** Probes a host, unless it has answered just now. */
@@ -117,8 +117,8 @@
           probeDue(homes, choice, watch)
           return choice.choose(upstream.upstream, homes, tried, organisation)
         },
-        ask: createPassOn({ links, choice, watch, count, time }),
-        loadOf: choice.loadOf,
+        forward: createPassOn({ links, choice, watch, count, time }),
+        inProgressAt: choice.loadOf,
         ...reachOf(choice, watch)
       },
       dump: () => Object.fromEntries(directory.all().map((upstream) =>
--- a/src/entry/homes/pass-on.ts
+++ b/src/entry/homes/pass-on.ts
@@ -14,7 +14,7 @@
 import { homeReplySchema, type HomeReply } from './messages.ts'
 
 /** What is passed on to a home. */
-export interface PassedOn {
+export interface ForwardRequest {
   /** Name of the upstream where it is to run. */
   upstream: string
   /** Type of the message. */
@@ -41,7 +41,7 @@
 }
 
 /** Passes a statement on to a home; see `Homes.ask`. */
-type PassOn = (home: KnownHost, passed: PassedOn) => Promise<HomeReply>
+type PassOn = (home: KnownHost, passed: ForwardRequest) => Promise<HomeReply>
 
 /**
  * Creates what passes statements on.
@@ -73,7 +73,7 @@
 }
 
 async function waitForReply (
-  home: KnownHost, { type, body, timeoutMs, onLateReply }: PassedOn, { links, watch }: PassOnOptions
+  home: KnownHost, { type, body, timeoutMs, onLateReply }: ForwardRequest, { links, watch }: PassOnOptions
 ): Promise<HomeReply> {
   return await new Promise((resolve, reject) => {
     let isLeft = false
--- a/src/entry/requests/choose-upstream.ts
+++ b/src/entry/requests/choose-upstream.ts
@@ -118,7 +118,7 @@
   const { health, pool, queue } = used
   return {
     latencyMs: health.latencyMs,
-    busy: queue.running + queue.waiting + homes.loadOf(known.upstream),
+    busy: queue.running + queue.waiting + homes.inProgressAt(known.upstream),
     slots: known.slots,
     isLocalDomain: known.failureDomain === failureDomain,
     isPrimary,
--- a/src/entry/requests/forwarding-executor.ts
+++ b/src/entry/requests/forwarding-executor.ts
@@ -1,7 +1,7 @@
 /** Executes statements at a home of the upstream, which this host forwards them to. */
 import { toRequestError } from '../../core/errors/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
-import { HOP_GRACE_MS, type HomeReply, type PassedOn } from '../homes/index.ts'
+import { FORWARDING_GRACE_MS, type HomeReply, type ForwardRequest } from '../homes/index.ts'
 import type { UsedUpstream } from '../pools/index.ts'
 import type { KnownHost } from '../registry/index.ts'
 import type { LogPosition } from '../../positions/position.ts'
@@ -24,7 +24,7 @@
 /** Link to one home on behalf of one request or transaction. */
 interface HomeLink {
   /** Sends a question and waits for the reply; a home that fails is not chosen again for the request. */
-  ask: (scope: RequestScope, type: string, body: unknown, onLateReply?: PassedOn['onLateReply']) => Promise<HomeReply>
+  ask: (scope: RequestScope, type: string, body: unknown, onLateReply?: ForwardRequest['onLateReply']) => Promise<HomeReply>
   /** Checks that the home answers: a write that a silent home has taken stays in doubt. */
   ensureAlive: (scope: RequestScope) => Promise<void>
   /** Rolls back a transaction that is open there; never rejects. */
@@ -48,9 +48,9 @@
     ask: async (scope, type, body, onLateReply) => {
       scope.home = home.name
       const sentAt = performance.now()
-      const timeoutMs = scope.deadline.leftMs + HOP_GRACE_MS
+      const timeoutMs = scope.deadline.leftMs + FORWARDING_GRACE_MS
       return await avoidOnError(scope, async () => {
-        const reply = await homes.ask(home, { upstream, type, body, timeoutMs, onLateReply })
+        const reply = await homes.forward(home, { upstream, type, body, timeoutMs, onLateReply })
         used.health.answered()
         used.health.recordLatency(performance.now() - sentAt)
         return reply
@@ -60,7 +60,7 @@
     rollBack: async (transaction) => {
       try {
         const body = { transaction }
-        await homes.ask(home, { upstream, type: 'home-rollback', body, timeoutMs: ROLLBACK_MS })
+        await homes.forward(home, { upstream, type: 'home-rollback', body, timeoutMs: ROLLBACK_MS })
       } catch {
         // The home has logged why, or is gone; it ends transactions that are idle, and those of links that break.
       }
