--- a/src/core/logger/events.ts
+++ b/src/core/logger/events.ts
@@ -39,7 +39,7 @@
   'freshness.asked': { level: 'info', pairs: 'group, peers, found, position, before', when: 'this host had no proof of freshness and asked peers for theirs' },
   'freshness.not-proven': { level: 'info', pairs: 'group, upstream, reason', when: 'a home could not learn where the log of its primary ends' },
   'group.leadership': { level: 'info', pairs: 'group, term, primary', when: 'a home follows a new primary' },
-  'home.all-asked': { level: 'info', pairs: 'silent, asked', when: 'several homes are silent at once, so all others are asked whether they are alive' },
+  'home.all-probed': { level: 'info', pairs: 'silent, asked', when: 'several homes are silent at once, so all others are asked whether they are alive' },
   'home.failed': { level: 'info', pairs: 'peer, reason', when: 'a home of an upstream could not be reached or has not answered; it is skipped until it answers' },
   'home.slow': { level: 'info', pairs: 'peer, silentMs', when: 'a home of an upstream has not answered soon enough; it is skipped until it answers, and what can run elsewhere leaves it' },
   'home.transaction-ended': { level: 'info', pairs: 'id, reason', when: 'a home has ended a transaction of another host' },
--- a/src/entry/homes/home-watch.ts
+++ b/src/entry/homes/home-watch.ts
@@ -158,7 +158,7 @@
       startedAt = performance.now()
       const others = known.filter((home) => !choice.isSilent(home) && Number.isFinite(choice.lastAnswerAt(home)))
       others.forEach(probe)
-      logger.log('info', 'home.all-asked', { silent: silent.length, asked: others.length })
+      logger.log('info', 'home.all-probed', { silent: silent.length, asked: others.length })
     },
     onBack: () => homes().filter(choice.isSilent).forEach(probe)
   }
