--- a/src/entry/homes/home-watch.ts
+++ b/src/entry/homes/home-watch.ts
@@ -1,101 +1,98 @@
 /**
- * When a home counts as silent towards this host that asks it, and when its link is broken: a home that is slow is
- * suspected, one that is gone loses its link. (limits/recent-requesters.ts watches hosts that no longer request, and
- * limits/process-pauses.ts this process itself.)
+ * Failure detector for homes, in two steps. A home that statements wait for is probed when it has not answered anything
+ * for {@link PROBE_AFTER_IDLE_MS}. Without an answer within {@link SUSPECT_AFTER_MS} it is suspected: it is skipped
+ * until it answers, and abandoned by requests that can run elsewhere. After {@link DISCONNECT_AFTER_MS} its link is
+ * closed and the requests that wait there fail.
  *
- * Inputs: when a home last answered, and when a probe was sent, in milliseconds. Rule: a home that statements wait for
- * is probed when it has answered nothing for {@link UNHEARD_MS}. One that does not answer the probe in {@link
- * PROBE_ANSWER_MS} is suspected: what can run elsewhere leaves it, and it is skipped until it answers. After {@link
- * HOME_GONE_MS} its link is broken. When several homes are silent, all others with a link are probed; when one answers
- * again, all silent ones are.
- * Why: requests of callers find out one home at a time, at 0.2 to 0.3 s each, and again at
- * each other home when hosts are cut in two.
+ * When several homes are silent, all others with a link are probed; when a silent one answers, all silent ones are. A
+ * partition is then detected at once instead of one home at a time. See also limits/recent-requesters.ts and
+ * limits/process-pauses.ts.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import { TIMED_OUT, within } from '../../core/time/deadline.ts'
 import type { Peers } from '../../peers/index.ts'
 import type { KnownHost } from '../registry/index.ts'
-import type { HomeChoice } from './home-choice.ts'
+import type { HomeSelector } from './home-choice.ts'
 
-/** Time after which a home that has answered nothing is probed, in milliseconds. */
-export const UNHEARD_MS = 150
+/** Time without an answer after which a home is probed, in milliseconds. */
+export const PROBE_AFTER_IDLE_MS = 150
 /**
- * Time that it then has to answer before it is suspected, in milliseconds: a process with little to do answers within
- * some tens, and one that has used up its share of a core within a hundred.
+ * Time from the probe until the home is suspected, in milliseconds. It exceeds the time that a process takes to answer
+ * while its processor quota is exhausted.
  */
-export const PROBE_ANSWER_MS = 150
+export const SUSPECT_AFTER_MS = 150
 /**
- * Time that it then has to answer before its link is broken and what waits there fails, in milliseconds: as long as
- * most routes give a statement; what is in doubt is not sent again, so that a late answer serves a caller better.
+ * Time from the probe until the link is closed, in milliseconds. It is about the deadline of a statement on most
+ * routes: a write in progress cannot be sent again, so a late answer is better than an unknown outcome.
  */
-export const HOME_GONE_MS = 800
+export const DISCONNECT_AFTER_MS = 800
 /**
- * Silent homes from which on all others with a link are probed as well, and the least pause between two such rounds, in
- * milliseconds: one may have ended or be paused, while more at once are often those beyond a partition.
+ * Number of silent homes from which on all others are probed, and the least time between two such rounds, in
+ * milliseconds. A single silent home is more likely stopped or paused than cut off by a partition.
  */
-export const PROBE_OTHERS = { silent: 2, pauseMs: 1000 } as const
+export const PROBE_ALL = { silentHomes: 2, minIntervalMs: 1000 } as const
 
-/** Options of {@link createHomeWatch}. */
-interface HomeWatchOptions {
+/** Options of {@link createHomeFailureDetector}. */
+interface FailureDetectorOptions {
   links: Pick<Peers['work'], 'request' | 'disconnect'>
-  choice: Pick<HomeChoice, 'recordAnswer' | 'recordFailure' | 'isSilent' | 'lastAnswerAt'>
+  selector: Pick<HomeSelector, 'recordAnswer' | 'recordFailure' | 'isSilent' | 'lastAnswerAt'>
   logger: Logger
-  /** Homes that this host may pass statements on to. */
+  /** Homes that this host may forward statements to. */
   homes: () => KnownHost[]
 }
 
-/** Watches homes that statements wait for. */
-export interface HomeWatch {
+/** Detects homes that do not respond. */
+export interface HomeFailureDetector {
   /**
-   * Checks whether a home is alive: probes it, unless it has answered just now.
+   * Checks whether a home is alive: probes it, unless it has answered recently.
    *
    * @param home - the home
-   * @returns whether it answered soon enough
+   * @returns whether it has answered within {@link SUSPECT_AFTER_MS}
    */
   isAlive: (home: KnownHost) => Promise<boolean>
   /**
-   * Probes a home again and again for as long as it stays silent.
+   * Probes a home periodically while a request waits for it, unless it keeps answering.
    *
    * @param home - the home
-   * @param onSuspected - called each time that it has not answered soon enough
+   * @param onSuspected - called each time that a probe is not answered in time
    * @returns stops probing
    */
   probeWhileWaiting: (home: KnownHost, onSuspected: () => void) => () => void
-  /** Records that a home could not be reached, or has not answered. */
+  /** Records that a home was unreachable or did not answer. */
   recordFailure: (home: KnownHost, thrown: unknown) => void
 }
 
 /**
- * Creates the watch.
+ * Creates the failure detector.
  *
- * @param options - the links, and the choice that records what is seen
- * @returns the watch
+ * @param options - the links to probe, and the selector that stores the results
+ * @returns the failure detector
  */
-export function createHomeWatch (options: HomeWatchOptions): HomeWatch {
-  const { links, choice, logger } = options
-  /** Probes in progress by home, and whether they are answered soon: all that wait for the same home share them. */
+export function createHomeFailureDetector (options: FailureDetectorOptions): HomeFailureDetector {
+  const { links, selector, logger } = options
+  /** Probes in progress by home, shared by all callers; each resolves to whether the answer came in time. */
   const probing = new Map<string, Promise<boolean>>()
-  const probeOthers = createRoundOfOthers(options, (home) => { void isAlive(home) })
+  const probeRounds = createProbeRounds(options, (home) => { void isAlive(home) })
 
   const recordSilence = (home: KnownHost): void => {
-    const wasSilent = choice.isSilent(home)
-    choice.recordFailure(home)
+    const wasSilent = selector.isSilent(home)
+    selector.recordFailure(home)
     if (!wasSilent) {
-      probeOthers.onSilent()
+      probeRounds.onSilent()
     }
   }
   const recordFailure = (home: KnownHost, thrown: unknown): void => {
     recordSilence(home)
     logger.log('info', 'home.failed', { peer: home.name, reason: describeThrown(thrown) })
   }
-  const answers = async (home: KnownHost): Promise<boolean> => {
+  const requestAnswer = async (home: KnownHost): Promise<boolean> => {
     try {
-      await links.request(home, 'home-alive', {}, HOME_GONE_MS)
-      const wasSilent = choice.isSilent(home)
-      choice.recordAnswer(home, '')
+      await links.request(home, 'home-alive', {}, DISCONNECT_AFTER_MS)
+      const wasSilent = selector.isSilent(home)
+      selector.recordAnswer(home, '')
       if (wasSilent) {
-        probeOthers.onBack()
+        probeRounds.onRecovered()
       }
       return true
     } catch (thrown) {
@@ -104,62 +101,62 @@
       return false
     }
   }
-  const answersSoon = async (home: KnownHost, answer: Promise<boolean>): Promise<boolean> => {
-    const inTime = await within(answer, PROBE_ANSWER_MS)
+  const suspectUnlessAnswered = async (home: KnownHost, answer: Promise<boolean>): Promise<boolean> => {
+    const inTime = await within(answer, SUSPECT_AFTER_MS)
     if (inTime === TIMED_OUT) {
       recordSilence(home)
-      const silentMs = Math.round(performance.now() - choice.lastAnswerAt(home))
+      const silentMs = Math.round(performance.now() - selector.lastAnswerAt(home))
       logger.log('info', 'home.slow', { peer: home.name, silentMs })
       return false
     }
     return inTime
   }
   const probe = (home: KnownHost): Promise<boolean> => {
-    const answer = answers(home).finally(() => probing.delete(home.name))
-    const soon = answersSoon(home, answer)
-    probing.set(home.name, soon)
-    return soon
+    const answer = requestAnswer(home).finally(() => probing.delete(home.name))
+    const answeredInTime = suspectUnlessAnswered(home, answer)
+    probing.set(home.name, answeredInTime)
+    return answeredInTime
   }
-  const hasAnsweredLately = (home: KnownHost): boolean =>
-    performance.now() - choice.lastAnswerAt(home) <= UNHEARD_MS
+  const hasAnsweredRecently = (home: KnownHost): boolean =>
+    performance.now() - selector.lastAnswerAt(home) <= PROBE_AFTER_IDLE_MS
   const isAlive = async (home: KnownHost): Promise<boolean> =>
-    hasAnsweredLately(home) || await (probing.get(home.name) ?? probe(home))
+    hasAnsweredRecently(home) || await (probing.get(home.name) ?? probe(home))
   return {
     isAlive,
     probeWhileWaiting: (home, onSuspected) => {
       const timer = setInterval(() => {
         void isAlive(home).then((alive) => alive || onSuspected())
-      }, UNHEARD_MS)
+      }, PROBE_AFTER_IDLE_MS)
       return () => clearInterval(timer)
     },
     recordFailure
   }
 }
 
-/** Probes of homes beside the one that was seen to change. */
-interface RoundOfOthers {
-  /** A home has become silent: with several, all others that have answered before are probed. */
+/** Probes other homes after one of them has changed. */
+interface ProbeRounds {
+  /** Called when a home becomes silent; probes all others that have answered before once several are silent. */
   onSilent: () => void
-  /** A silent home has answered: the end of a partition brings all homes back that were beyond it. */
-  onBack: () => void
+  /** Called when a silent home answers; probes all silent ones, since a partition may have ended. */
+  onRecovered: () => void
 }
 
-function createRoundOfOthers (
-  { choice, logger, homes }: HomeWatchOptions, probe: (home: KnownHost) => void
-): RoundOfOthers {
+function createProbeRounds (
+  { selector, logger, homes }: FailureDetectorOptions, probe: (home: KnownHost) => void
+): ProbeRounds {
   let startedAt = -Infinity
   return {
     onSilent: () => {
       const known = homes()
-      const silent = known.filter(choice.isSilent)
-      if (silent.length < PROBE_OTHERS.silent || performance.now() - startedAt < PROBE_OTHERS.pauseMs) {
+      const silent = known.filter(selector.isSilent)
+      if (silent.length < PROBE_ALL.silentHomes || performance.now() - startedAt < PROBE_ALL.minIntervalMs) {
         return
       }
       startedAt = performance.now()
-      const others = known.filter((home) => !choice.isSilent(home) && Number.isFinite(choice.lastAnswerAt(home)))
+      const others = known.filter((home) => !selector.isSilent(home) && Number.isFinite(selector.lastAnswerAt(home)))
       others.forEach(probe)
       logger.log('info', 'home.all-probed', { silent: silent.length, asked: others.length })
     },
-    onBack: () => homes().filter(choice.isSilent).forEach(probe)
+    onRecovered: () => homes().filter(selector.isSilent).forEach(probe)
   }
 }
--- a/src/entry/homes/index.ts
+++ b/src/entry/homes/index.ts
@@ -1,74 +1,77 @@
-/** Plug-in `homes`: which hosts hold the connections to each upstream, and the links to them. */
+/**
+ * Plug-in `homes`. A home of an upstream is a host that holds connections to it; the other hosts forward statements to
+ * a home. This plug-in computes the homes, selects one for each statement and detects those that fail.
+ */
 import { registerPlugin } from '../../core/kernel/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import type { KnownHost } from '../registry/index.ts'
-import { createHomeChoice, type HomeChoice } from './home-choice.ts'
-import { createHomeWatch, type HomeWatch } from './home-watch.ts'
+import { createForwarder, silentHomeError, type ForwardRequest } from './pass-on.ts'
+import { createHomeSelector, type HomeSelector } from './home-choice.ts'
+import { createHomeFailureDetector, type HomeFailureDetector } from './home-watch.ts'
 import type { HomeReply } from './messages.ts'
-import { createPassOn, homeSilent, type ForwardRequest } from './pass-on.ts'
 import { createUpstreamHomes } from './upstream-homes.ts'
 
 export * from './messages.ts'
 export type { ForwardRequest } from './pass-on.ts'
 
 /**
- * What the answer of a home may take beyond the time that a statement has left, in milliseconds: the refusal of the
- * home itself comes first.
+ * Time in milliseconds that a host waits for a home beyond the statement's deadline, so that the home's own timeout
+ * error arrives first.
  */
 export const FORWARDING_GRACE_MS = 30
 
-/** Whether a host answers this one: not known before it has been asked anything. */
+/** Whether a host responds; `unknown` until it has been sent a request. */
 type Reachability = 'answers' | 'silent' | 'unknown'
 
 /** Service of the plug-in. */
 export interface Homes {
-  /** Homes of an upstream, the best first; none while the hosts or the upstream's cap are unknown. */
+  /** Homes of an upstream, in order of preference; empty while the live hosts or the upstream's cap are unknown. */
   of: (upstream: KnownUpstream) => KnownHost[]
-  /** Whether this host is one of them. */
+  /** Whether this host is a home of an upstream. */
   isHome: (upstream: KnownUpstream) => boolean
   /**
-   * Chooses the home to which a statement is passed on.
+   * Selects the home that a statement is forwarded to.
    *
-   * @param upstream - where it is to run
-   * @param tried - names of homes that have been tried for it
-   * @param organisation - name of the organisation on whose behalf it runs; empty for none
-   * @returns the home; undefined when this host is one itself, or when none is fit
+   * @param upstream - the upstream that executes the statement
+   * @param tried - names of homes that were already tried for this statement
+   * @param organisation - organisation on whose behalf the statement runs; empty for none
+   * @returns the home; undefined when this host is a home itself, or when no home is eligible
    */
   choose: (upstream: KnownUpstream, tried: ReadonlySet<string>, organisation?: string) => KnownHost | undefined
   /**
-   * Passes a statement on and waits for its outcome. A home that is silent is left after a third of a second, if it may
-   * be, and given up after one second.
+   * Forwards a statement to a home and waits for the reply until the timeout, or until the home is disconnected. A
+   * request with `onLateReply` is abandoned as soon as the home is suspected; see home-watch.ts.
    *
    * @param home - the home
-   * @param passed - the message
-   * @returns the answer
-   * @throws RequestError with the verdict on whether it may have run
+   * @param request - the message
+   * @returns the reply
+   * @throws RequestError whose verdict says whether the statement may have run
    */
-  forward: (home: KnownHost, passed: ForwardRequest) => Promise<HomeReply>
+  forward: (home: KnownHost, request: ForwardRequest) => Promise<HomeReply>
   /**
-   * Makes sure that a home is alive before it gets what must not be in doubt: probes it, unless it has answered just
-   * now.
+   * Probes a home, unless it has answered recently. Called before a request whose outcome would be unknown if the home
+   * failed.
    *
    * @param home - the home
    * @throws RequestError `PeerUnavailable` with verdict `not-run`
    */
   ensureAlive: (home: KnownHost) => Promise<void>
-  /** Statements that this host has in progress at an upstream through its homes. */
+  /** Number of statements for an upstream that this host has forwarded and that are still in progress. */
   inProgressAt: (upstream: string) => number
-  /** Whether a host answers, as far as this host has seen. */
+  /** Whether a host responds, according to the requests of this host. */
   reachability: (host: KnownHost) => Reachability
-  /** Probes a host, unless it has answered just now. */
-  check: (host: KnownHost) => void
+  /** Probes a host in the background, unless it has answered recently. */
+  probe: (host: KnownHost) => void
   /**
-   * Finds the first host that is not known to be silent; has silent ones before it probed.
+   * Finds the first host that is not known to be silent, and probes one of the silent hosts before it when that is due.
    *
-   * @param hosts - the hosts, the best first
-   * @returns the host; undefined when there is none
+   * @param hosts - the hosts in order of preference
+   * @returns the host; undefined when all are silent
    */
-  firstAnswering: (hosts: KnownHost[]) => KnownHost | undefined
-  /** Records that a host has answered a question of another kind. */
+  firstResponsive: (hosts: KnownHost[]) => KnownHost | undefined
+  /** Records that a host has answered a request that was not sent through this plug-in. */
   recordAnswer: (host: KnownHost) => void
-  /** Records that a host could not be reached, or has not answered. */
+  /** Records that a host was unreachable or did not answer. */
   recordFailure: (host: KnownHost, thrown: unknown) => void
 }
 
@@ -84,24 +87,24 @@
     const registry = use('registry')
     const { work: links, handle } = use('peers')
     const metrics = use('metrics')
-    const choice = createHomeChoice()
+    const selector = createHomeSelector()
     const count = metrics.count('worksward_passed_on', 'Statements passed on to homes, by outcome')
     const time = metrics.time('worksward_passed_on_milliseconds', 'Time of statements passed on to homes')
     const { of, isHome, others } = createUpstreamHomes({
       registry, desiredState: use('desiredState'), directory
     })
-    const watch = createHomeWatch({ links, choice, logger, homes: others })
+    const detector = createHomeFailureDetector({ links, selector, logger, homes: others })
     handle('home-alive', async () => ({}))
     let { liveHosts } = registry.current
     registry.onChange(() => {
       if (registry.current.liveHosts !== liveHosts) {
         liveHosts = registry.current.liveHosts
-        choice.retain(liveHosts)
+        selector.retainHosts(liveHosts)
       }
     })
     directory.onChange(({ upstream, change }) => {
       if (change === 'gone') {
-        choice.forgetUpstream(upstream.upstream)
+        selector.forgetUpstream(upstream.upstream)
       }
     })
 
@@ -114,12 +117,12 @@
             return undefined
           }
           const homes = of(upstream)
-          probeDue(homes, choice, watch)
-          return choice.choose(upstream.upstream, homes, tried, organisation)
+          probeDueHost(homes, selector, detector)
+          return selector.choose(upstream.upstream, homes, tried, organisation)
         },
-        forward: createPassOn({ links, choice, watch, count, time }),
-        inProgressAt: choice.loadOf,
-        ...reachOf(choice, watch)
+        forward: createForwarder({ links, selector, detector, count, time }),
+        inProgressAt: selector.inProgressAt,
+        ...createReachability(selector, detector)
       },
       dump: () => Object.fromEntries(directory.all().map((upstream) =>
         [upstream.upstream, { group: upstream.group, homes: of(upstream).map(({ name }) => name) }]))
@@ -127,37 +130,37 @@
   }
 })
 
-/** The part of the service that says which hosts answer. */
-function reachOf (
-  choice: HomeChoice, watch: HomeWatch
-): Pick<Homes, 'ensureAlive' | 'reachability' | 'check' | 'firstAnswering' | 'recordAnswer' | 'recordFailure'> {
+/** The methods of the service that track which hosts respond. */
+function createReachability (
+  selector: HomeSelector, detector: HomeFailureDetector
+): Pick<Homes, 'ensureAlive' | 'reachability' | 'probe' | 'firstResponsive' | 'recordAnswer' | 'recordFailure'> {
   return {
     ensureAlive: async (home) => {
-      if (!await watch.isAlive(home)) {
-        throw homeSilent(home, 'not-run')
+      if (!await detector.isAlive(home)) {
+        throw silentHomeError(home, 'not-run')
       }
     },
     reachability: (host) => {
-      if (choice.isSilent(host)) {
+      if (selector.isSilent(host)) {
         return 'silent'
       }
-      return Number.isFinite(choice.lastAnswerAt(host)) ? 'answers' : 'unknown'
+      return Number.isFinite(selector.lastAnswerAt(host)) ? 'answers' : 'unknown'
     },
-    check: (host) => { void watch.isAlive(host) },
-    firstAnswering: (hosts) => {
-      const first = hosts.findIndex((host) => !choice.isSilent(host))
-      probeDue(first < 0 ? hosts : hosts.slice(0, first), choice, watch)
+    probe: (host) => { void detector.isAlive(host) },
+    firstResponsive: (hosts) => {
+      const first = hosts.findIndex((host) => !selector.isSilent(host))
+      probeDueHost(first < 0 ? hosts : hosts.slice(0, first), selector, detector)
       return hosts[first]
     },
-    recordAnswer: (host) => choice.recordAnswer(host, ''),
-    recordFailure: watch.recordFailure
+    recordAnswer: (host) => selector.recordAnswer(host, ''),
+    recordFailure: detector.recordFailure
   }
 }
 
-/** Probes the silent host that is due, if any. */
-function probeDue (hosts: KnownHost[], choice: HomeChoice, watch: HomeWatch): void {
-  const due = choice.takeDueProbe(hosts)
+/** Probes the silent host whose next probe is due, if any. */
+function probeDueHost (hosts: KnownHost[], selector: HomeSelector, detector: HomeFailureDetector): void {
+  const due = selector.takeDueProbe(hosts)
   if (due !== undefined) {
-    void watch.isAlive(due)
+    void detector.isAlive(due)
   }
 }
--- a/src/entry/homes/messages.ts
+++ b/src/entry/homes/messages.ts
@@ -1,50 +1,50 @@
-/** Frames between a host and a home of an upstream. */
+/** Messages that a host exchanges with a home of an upstream. */
 import * as z from 'zod'
 import { logPositionSchema } from '../../positions/position.ts'
 
 const preparedSchema = z.object({ access: z.enum(['read', 'write']), shape: z.string() })
 
-/** One step at an upstream: a statement of a caller, or the commit of its transaction. */
+/** Step of a caller's request: a statement, or the commit of the transaction. */
 const stepSchema = z.discriminatedUnion('type', [
   z.object({ type: z.literal('data'), access: z.enum(['read', 'write']), text: z.string() }),
   z.object({ type: z.literal('execute'), prepared: preparedSchema, parameters: z.string() }),
   z.object({ type: z.literal('commit'), text: z.string() })
 ])
 
-const common = {
+const stepFields = {
   /** Id of the caller's request. */
   id: z.string(),
-  /** Time that the statement has left, when it was sent, in milliseconds. */
+  /** Time until the deadline of the statement when the message was sent, in milliseconds. */
   leftMs: z.number(),
-  /** Time left for an answer in time, when it was sent, in milliseconds. */
+  /** Time within which an answer counts as on time, when the message was sent, in milliseconds. */
   inTimeMs: z.number(),
-  /** Values of the caller's session; left out when they are the same as in the step before of the transaction. */
+  /** Values of the caller's session; omitted when unchanged since the previous step of the transaction. */
   values: z.array(z.tuple([z.string(), z.string()])).optional(),
   step: stepSchema
 }
 
 /** A single statement, or the first step of a transaction. */
 export const homeStatementSchema = z.object({
-  ...common,
+  ...stepFields,
   upstream: z.string(),
-  /** Name of the organisation on whose behalf it runs; empty for none. */
+  /** Name of the organisation on whose behalf the statement runs; empty for none. */
   organisation: z.string(),
-  /** Version of the desired state by which the asking host passes it on. */
+  /** Version of the desired state by which the sender has routed the statement. */
   version: z.number(),
   priority: z.number(),
-  /** Time that the statement is expected to take at the upstream, in milliseconds. */
+  /** Expected execution time at the upstream, in milliseconds. */
   costMs: z.number(),
-  /** Epoch in which the upstream is the primary, as far as the asking host knows; left out when `after` says enough. */
+  /** Epoch in which the sender takes the upstream to be the primary; omitted where a replica may run the statement. */
   epoch: z.number().int().optional(),
   after: logPositionSchema.optional(),
-  /** Whether a transaction begins, and whether it only reads. */
+  /** Begins a transaction in this mode. */
   begin: z.enum(['plain', 'read-only']).optional()
 })
 
 /** A further step of a transaction. */
-export const homeStepSchema = z.object({ ...common, transaction: z.number().int() })
+export const homeStepSchema = z.object({ ...stepFields, transaction: z.number().int() })
 
-/** The end of a transaction from the asking side. */
+/** Rolls back a transaction that the sender has opened. */
 export const homeRollbackSchema = z.object({ transaction: z.number().int() })
 
 const answerSchema = z.object({
@@ -55,28 +55,28 @@
   position: logPositionSchema.optional()
 })
 
-/** What became of a statement or step. */
+/** Reply to a statement or step. */
 export const homeReplySchema = z.object({
-  /** Answer to the beginning of the transaction. */
+  /** Answer to BEGIN. */
   begun: answerSchema.optional(),
   answer: answerSchema.optional(),
-  /** Why there is no answer although the transaction has begun. */
+  /** Why there is no answer to the step although the transaction has begun. */
   lost: z.object({ verdict: z.enum(['not-run', 'may-have-run', 'ran']), reason: z.string() }).optional(),
   /** Epoch in which the upstream answered as the primary. */
   epoch: z.number().int().optional(),
-  /** Time that the statement took at the upstream, in milliseconds. */
+  /** Execution time at the upstream, in milliseconds. */
   ranMs: z.number().optional(),
-  /** Number of the transaction, while it is open there. */
+  /** Number of the transaction while it is open at the home. */
   transaction: z.number().int().optional(),
   load: z.number(),
   leaving: z.boolean()
 })
 
-/** One step at an upstream. */
+/** Step of a caller's request. */
 export type Step = z.infer<typeof stepSchema>
 /** A single statement, or the first step of a transaction. */
 export type HomeStatement = z.infer<typeof homeStatementSchema>
 /** A further step of a transaction. */
 export type HomeStep = z.infer<typeof homeStepSchema>
-/** What became of a statement or step. */
+/** Reply to a statement or step. */
 export type HomeReply = z.infer<typeof homeReplySchema>
--- a/src/entry/homes/pass-on.ts
+++ b/src/entry/homes/pass-on.ts
@@ -1,106 +1,105 @@
 /**
- * How long a statement that was passed on is waited for, and what its outcome says about the home.
+ * Forwards statements to homes: decides how long to wait for the reply and what the outcome says about the home.
  *
- * Inputs: the greatest wait in milliseconds, whether the home may be left when it is silent. Rule: the wait ends with
- * the answer, with the greatest wait, or, where the home may be left, when it is suspected (home-watch.ts); an answer
- * that comes within {@link HOME_GONE_MS} after the greatest wait is then handed over as a late one. A home that could
- * not be reached counts as failed; any other error shows that it answers.
+ * The wait ends with the reply or with the timeout. A request with `onLateReply` also ends when the home is suspected
+ * (home-watch.ts); a reply that arrives up to {@link DISCONNECT_AFTER_MS} after the timeout is then passed to
+ * `onLateReply`. Only `PeerUnavailable` counts as a failure of the home; any other error shows that it responds.
  */
 import { RequestError, type Verdict } from '../../core/errors/index.ts'
 import type { Peers } from '../../peers/index.ts'
 import type { KnownHost } from '../registry/index.ts'
-import type { HomeChoice } from './home-choice.ts'
-import { HOME_GONE_MS, type HomeWatch } from './home-watch.ts'
+import type { HomeSelector } from './home-choice.ts'
+import { DISCONNECT_AFTER_MS, type HomeFailureDetector } from './home-watch.ts'
 import { homeReplySchema, type HomeReply } from './messages.ts'
 
-/** What is passed on to a home. */
+/** A message that is forwarded to a home. */
 export interface ForwardRequest {
-  /** Name of the upstream where it is to run. */
+  /** Name of the upstream that executes the statement. */
   upstream: string
   /** Type of the message. */
   type: string
   body: unknown
-  /** Greatest wait, in milliseconds. */
+  /** Longest wait for the reply, in milliseconds. */
   timeoutMs: number
   /**
-   * Given where a home that is silent may be left, since nothing of this try is kept or it can run again; called with
-   * an answer that comes after that.
+   * Receives a reply that arrives after the request was abandoned. Set only where a silent home may be abandoned: the
+   * statement can run again elsewhere, or its effects are undone.
    */
   onLateReply?: (reply: HomeReply) => void
 }
 
-/** Options of {@link createPassOn}. */
-interface PassOnOptions {
+/** Options of {@link createForwarder}. */
+interface ForwarderOptions {
   links: Pick<Peers['work'], 'request'>
-  choice: Pick<HomeChoice, 'recordSent' | 'recordEnded' | 'recordAnswer'>
-  watch: Pick<HomeWatch, 'probeWhileWaiting' | 'recordFailure'>
+  selector: Pick<HomeSelector, 'recordSent' | 'recordEnded' | 'recordAnswer'>
+  detector: Pick<HomeFailureDetector, 'probeWhileWaiting' | 'recordFailure'>
   /** Counts outcomes: `answered`, `unreadable`, or the name of an error. */
   count: (outcome: string) => void
-  /** Records the time of a message, by its type. */
+  /** Records how long a message took, by its type. */
   time: (type: string, durationMs: number) => void
 }
 
-/** Passes a statement on to a home; see `Homes.ask`. */
-type PassOn = (home: KnownHost, passed: ForwardRequest) => Promise<HomeReply>
+/** Forwards a statement to a home; see `Homes.forward`. */
+type Forward = (home: KnownHost, request: ForwardRequest) => Promise<HomeReply>
 
 /**
- * Creates what passes statements on.
+ * Creates the function that forwards statements.
  *
- * @param options - the links, and what records the outcomes
- * @returns passes a statement on
+ * @param options - the links to homes, and where outcomes are recorded
+ * @returns the function
  */
-export function createPassOn (options: PassOnOptions): PassOn {
-  const { choice, watch, count, time } = options
-  return async (home, passed) => {
-    const { upstream, type } = passed
+export function createForwarder (options: ForwarderOptions): Forward {
+  const { selector, detector, count, time } = options
+  return async (home, request) => {
+    const { upstream, type } = request
     const sentAt = performance.now()
-    choice.recordSent(home, upstream)
+    selector.recordSent(home, upstream)
     try {
-      const reply = await waitForReply(home, passed, options)
-      choice.recordAnswer(home, upstream, reply, performance.now() - sentAt - (reply.ranMs ?? 0))
+      const reply = await waitForReply(home, request, options)
+      selector.recordAnswer(home, upstream, reply, performance.now() - sentAt - (reply.ranMs ?? 0))
       count('answered')
       return reply
     } catch (thrown) {
-      const isMissing = thrown instanceof RequestError && thrown.entry === 'PeerUnavailable'
-      isMissing ? watch.recordFailure(home, thrown) : choice.recordAnswer(home, upstream)
+      const isUnavailable = thrown instanceof RequestError && thrown.entry === 'PeerUnavailable'
+      isUnavailable ? detector.recordFailure(home, thrown) : selector.recordAnswer(home, upstream)
       count(thrown instanceof RequestError ? thrown.entry : 'unreadable')
       throw thrown
     } finally {
-      choice.recordEnded(home, upstream)
+      selector.recordEnded(home, upstream)
       time(type, performance.now() - sentAt)
     }
   }
 }
 
 async function waitForReply (
-  home: KnownHost, { type, body, timeoutMs, onLateReply }: ForwardRequest, { links, watch }: PassOnOptions
+  home: KnownHost, { type, body, timeoutMs, onLateReply }: ForwardRequest, { links, detector }: ForwarderOptions
 ): Promise<HomeReply> {
   return await new Promise((resolve, reject) => {
-    let isLeft = false
-    const leave = (): void => {
-      isLeft = true
-      reject(homeSilent(home, 'may-have-run'))
+    let isAbandoned = false
+    const abandon = (): void => {
+      isAbandoned = true
+      reject(silentHomeError(home, 'may-have-run'))
     }
-    const stopProbing = watch.probeWhileWaiting(home, () => onLateReply !== undefined && leave())
-    const timer = setTimeout(leave, timeoutMs)
-    const lateMs = onLateReply === undefined ? 0 : HOME_GONE_MS
+    const stopProbing = detector.probeWhileWaiting(home, () => onLateReply !== undefined && abandon())
+    const timer = setTimeout(abandon, timeoutMs)
+    const lateMs = onLateReply === undefined ? 0 : DISCONNECT_AFTER_MS
     links.request(home, type, body, timeoutMs + lateMs).finally(() => {
       stopProbing()
       clearTimeout(timer)
     }).then((answer) => {
       const reply = homeReplySchema.parse(answer)
-      isLeft ? onLateReply?.(reply) : resolve(reply)
+      isAbandoned ? onLateReply?.(reply) : resolve(reply)
     }).catch(reject)
   })
 }
 
 /**
- * Creates the error of a home that does not answer.
+ * Creates the error for a home that does not respond.
  *
  * @param home - the home
  * @param verdict - whether the request may have run
  * @returns the error
  */
-export function homeSilent (home: KnownHost, verdict: Verdict): RequestError {
+export function silentHomeError (home: KnownHost, verdict: Verdict): RequestError {
   return new RequestError(verdict, 'PeerUnavailable', { peer: home.name, reason: 'it does not answer' })
 }
--- a/src/entry/homes/seen-homes.ts
+++ b/src/entry/homes/seen-homes.ts
@@ -1,78 +1,78 @@
 /**
- * What this host has seen of each home: whether it answers, how much it has to do, what is in progress there. Owns that
- * state; a restarted process of a host is another home, but what is in progress there goes on being counted. Hosts come
- * and go under new names for as long as this process runs, so those that are gone are dropped.
+ * State of each home as observed by this host: whether it responds, its load, and the statements in progress there.
+ * A restarted process starts with a new state but inherits the counts of statements in progress. Hosts that have left
+ * the registry are dropped, since host names change over the lifetime of this process.
  */
 import type { KnownHost } from '../registry/index.ts'
 
-/** What is known of one home; times on the steady clock, in milliseconds. */
-export interface SeenHome {
+/** Observed state of one home; times on the monotonic clock, in milliseconds. */
+export interface HomeState {
   host: KnownHost
-  /** Process that was seen; a restarted one is another. */
+  /** Id of the process that the state belongs to; it changes when the host restarts. */
   process: string
-  /** Whether it has failed and not answered since. */
+  /** Whether the home has failed and not answered since. */
   isSilent: boolean
   /** When it failed, or was last probed while silent. */
   silentAt: number
   leaving: boolean
-  /** Load by upstream, and when it was reported. */
+  /** Reported load and time of the report, by upstream. */
   loads: Map<string, { load: number, at: number }>
-  /** What answers took beyond the statement itself, in milliseconds, and when that was last seen. */
+  /** Moving average of the time that answers took beyond the statement itself, and when it was last updated. */
   overhead: { meanMs: number, at: number }
-  /** Statements in progress there, by upstream. */
+  /** Number of statements in progress there, by upstream. */
   inProgress: Map<string, number>
   lastAnswerAt: number
 }
 
-/** Homes that this host has seen. */
-interface SeenHomes {
+/** States of all homes that this host has contacted. */
+interface HomeStates {
   /**
-   * Returns what is known of a home: nothing of a process that was not seen before. What is learned late of an earlier
-   * process is not kept, but for the count of what is in progress.
+   * Returns the state of a home, creating it when the host or its process is new. A state for an older process than the
+   * stored one is not stored; it shares only the counts of statements in progress.
    */
-  of: (host: KnownHost) => SeenHome
-  /** Drops hosts that are not in a list, unless something is in progress there. */
+  of: (host: KnownHost) => HomeState
+  /** Drops hosts that are not in the list and have no statements in progress. */
   retain: (hosts: KnownHost[]) => void
-  /** Drops what is known of an upstream. */
+  /** Drops the loads reported for an upstream. */
   forgetUpstream: (upstream: string) => void
-  /** Number of hosts that are remembered. */
+  /** Number of hosts with a state. */
   readonly size: number
-  /** Statements that this host has in progress at an upstream through homes. */
+  /** Number of statements in progress at an upstream through all homes. */
   inProgressAt: (upstream: string) => number
 }
 
 /**
- * Creates the state; no home has been seen yet.
+ * Creates an empty set of states.
  *
- * @returns the state
+ * @returns the states
  */
-export function createSeenHomes (): SeenHomes {
-  const seen = new Map<string, SeenHome>()
+export function createHomeStates (): HomeStates {
+  const states = new Map<string, HomeState>()
   return {
     of: (host) => {
-      const known = seen.get(host.name)
+      const known = states.get(host.name)
       if (known?.process === host.process) {
         return known
       }
-      const fresh = createSeenHome(host, known?.inProgress)
+      const fresh = createHomeState(host, known?.inProgress)
       if (known === undefined || host.version >= known.host.version) {
-        seen.set(host.name, fresh)
+        states.set(host.name, fresh)
       }
       return fresh
     },
     retain: (hosts) => {
       const names = new Set(hosts.map(({ name }) => name))
-      const gone = [...seen.values()].filter(({ host, inProgress }) => !names.has(host.name) && inProgress.size === 0)
-      gone.forEach(({ host }) => seen.delete(host.name))
+      const gone = [...states.values()].filter(({ host, inProgress }) => !names.has(host.name) && inProgress.size === 0)
+      gone.forEach(({ host }) => states.delete(host.name))
     },
-    forgetUpstream: (upstream) => seen.forEach(({ loads }) => loads.delete(upstream)),
-    get size () { return seen.size },
+    forgetUpstream: (upstream) => states.forEach(({ loads }) => loads.delete(upstream)),
+    get size () { return states.size },
     inProgressAt: (upstream) =>
-      [...seen.values()].reduce((sum, { inProgress }) => sum + (inProgress.get(upstream) ?? 0), 0)
+      [...states.values()].reduce((sum, { inProgress }) => sum + (inProgress.get(upstream) ?? 0), 0)
   }
 }
 
-function createSeenHome (host: KnownHost, inProgress = new Map<string, number>()): SeenHome {
+function createHomeState (host: KnownHost, inProgress = new Map<string, number>()): HomeState {
   return {
     host,
     process: host.process,
@@ -87,13 +87,13 @@
 }
 
 /**
- * Counts statements in progress at a home.
+ * Updates the number of statements in progress at a home.
  *
  * @param home - the home
- * @param upstream - where they run
- * @param change - 1 when one was sent, -1 when one has ended
+ * @param upstream - the upstream that executes them
+ * @param change - 1 when a statement was sent, -1 when one has ended
  */
-export function countInProgress ({ inProgress }: SeenHome, upstream: string, change: 1 | -1): void {
+export function countInProgress ({ inProgress }: HomeState, upstream: string, change: 1 | -1): void {
   const count = Math.max(0, (inProgress.get(upstream) ?? 0) + change)
   count === 0 ? inProgress.delete(upstream) : inProgress.set(upstream, count)
 }
--- a/src/entry/homes/upstream-homes.ts
+++ b/src/entry/homes/upstream-homes.ts
@@ -1,7 +1,6 @@
 /**
- * Which hosts are the homes of each upstream, and whether this host is one. Owns the homes that were computed: they are
- * looked up several times for each statement. Rule: placement/upstream-homes.ts, for the live hosts that are not
- * leaving, or all when all are; none while the upstream's cap is unknown.
+ * Computes the homes of each upstream from the live hosts (placement/upstream-homes.ts) and caches them, since they are
+ * looked up several times per statement. Hosts that are leaving are left out unless all are.
  */
 import { homesOf } from '../../placement/upstream-homes.ts'
 import type { DesiredStateInForce } from '../desired-state/index.ts'
@@ -17,15 +16,15 @@
 
 /** Homes of upstreams. */
 interface UpstreamHomes {
-  /** Homes of an upstream, the best first; none while the upstream's cap is unknown. */
+  /** Homes of an upstream, in order of preference; empty while the upstream's cap is unknown. */
   of: (upstream: KnownUpstream) => KnownHost[]
-  /** Whether this host is one of them. */
+  /** Whether this host is a home of an upstream. */
   isHome: (upstream: KnownUpstream) => boolean
-  /** All other hosts that are a home of any upstream. */
+  /** Other hosts that are a home of any upstream. */
   others: () => KnownHost[]
 }
 
-/** Homes that were computed, and what from. */
+/** Cached homes of an upstream, and the inputs they were computed from. */
 interface ComputedHomes {
   liveHosts: KnownHost[]
   cap: number
@@ -33,16 +32,16 @@
 }
 
 /**
- * Creates the homes of upstreams.
+ * Creates the lookup of homes.
  *
- * @param options - the live hosts, the caps, and which upstreams are gone
- * @returns the homes
+ * @param options - sources of the live hosts, the caps and the upstreams that are gone
+ * @returns the lookup
  */
 export function createUpstreamHomes ({ registry, desiredState, directory }: UpstreamHomesOptions): UpstreamHomes {
-  const computed = new Map<string, ComputedHomes>()
+  const cache = new Map<string, ComputedHomes>()
   directory.onChange(({ upstream, change }) => {
     if (change === 'gone') {
-      computed.delete(upstream.upstream)
+      cache.delete(upstream.upstream)
     }
   })
   const isSelf = ({ name }: KnownHost): boolean => name === registry.self.name
@@ -52,23 +51,23 @@
     if (cap === undefined) {
       return []
     }
-    const known = computed.get(upstream.upstream)
+    const known = cache.get(upstream.upstream)
     if (known?.liveHosts === liveHosts && known.cap === cap) {
       return known.homes
     }
-    const homes = homesOf(upstream, stayingOf(liveHosts), cap)
-    computed.set(upstream.upstream, { liveHosts, cap, homes })
+    const homes = homesOf(upstream, excludeLeaving(liveHosts), cap)
+    cache.set(upstream.upstream, { liveHosts, cap, homes })
     return homes
   }
   return {
     of,
     isHome: (upstream) => of(upstream).some(isSelf),
-    others: () => [...new Set([...computed.values()].flatMap(({ homes }) => homes))].filter((home) => !isSelf(home))
+    others: () => [...new Set([...cache.values()].flatMap(({ homes }) => homes))].filter((home) => !isSelf(home))
   }
 }
 
-/** Hosts that are not leaving; all when every one is. */
-function stayingOf (hosts: KnownHost[]): KnownHost[] {
+/** Removes hosts that are leaving; returns all when every host is leaving. */
+function excludeLeaving (hosts: KnownHost[]): KnownHost[] {
   const staying = hosts.filter(({ leaving }) => leaving !== true)
   return staying.length > 0 ? staying : hosts
 }
--- a/src/entry/limits/index.ts
+++ b/src/entry/limits/index.ts
@@ -51,7 +51,7 @@
     const limitOf = (organisation: string): OperationLimit | undefined =>
       desiredState.current?.organisations.get(organisation)?.limit
 
-    const requesters = createRecentRequesters({ check: homes.check })
+    const requesters = createRecentRequesters({ check: homes.probe })
     const owner = createOwner(context, (host) => requesters.isRecent(host))
     const pauses = watchProcessPauses()
     const order = createLimitOrder({ registry, pauses })
--- a/src/entry/limits/limit-questions.ts
+++ b/src/entry/limits/limit-questions.ts
@@ -41,7 +41,7 @@
 /** Options of {@link createLimitQuestions}. */
 interface LimitQuestionsOptions {
   registry: Pick<Registry, 'self'>
-  homes: Pick<Homes, 'firstAnswering' | 'recordAnswer' | 'recordFailure'>
+  homes: Pick<Homes, 'firstResponsive' | 'recordAnswer' | 'recordFailure'>
   links: Pick<Peers['work'], 'request'>
   logger: Logger
   count: (outcome: 'answered' | 'failed') => void
@@ -87,7 +87,7 @@
   }
   return async (organisation, wanted) => {
     for (let tries = 0; tries < HOSTS_ASKED; tries++) {
-      const host = homes.firstAnswering(orderOf(organisation))
+      const host = homes.firstResponsive(orderOf(organisation))
       const answer = host && await askHost(host, organisation, wanted)
       if (answer !== undefined) {
         return answer
--- a/test/entry/homes/home-choice.test.ts
+++ b/test/entry/homes/home-choice.test.ts
@@ -1,139 +1,139 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { expect } from 'earl'
-import { createHomeChoice, PROBE_AGAIN_MS, type HomeChoice } from '../../../src/entry/homes/home-choice.ts'
-import { LOAD_HALF_LIFE_MS, OVERHEAD } from '../../../src/entry/homes/home-cost.ts'
+import { createHomeSelector, PROBE_INTERVAL_MS, type HomeSelector } from '../../../src/entry/homes/home-choice.ts'
+import { LOAD_HALF_LIFE_MS, OVERHEAD_AVERAGE } from '../../../src/entry/homes/home-cost.ts'
 import type { KnownHost } from '../../../src/entry/registry/index.ts'
 
 const homeNamed = (name: string, process = `${name}-1`, version = 1): KnownHost =>
   ({ name, process, address: '10.0.0.1', port: 1, failureDomain: 'x', version })
 const NONE: ReadonlySet<string> = new Set()
 
-describe('the choice among homes', () => {
+describe('createHomeSelector', () => {
   let clock: Clock
-  let choice: HomeChoice
+  let selector: HomeSelector
   const [a, b] = [homeNamed('a'), homeNamed('b')]
-  const chosen = (homes = [a, b], tried = NONE): string | undefined => choice.choose('u', homes, tried)?.name
+  const chosen = (homes = [a, b], tried = NONE): string | undefined => selector.choose('u', homes, tried)?.name
 
   beforeEach(() => {
     clock = fakeTimers.install({ toFake: ['performance'] })
-    choice = createHomeChoice()
+    selector = createHomeSelector()
   })
   afterEach(() => { clock.uninstall() })
 
-  it('takes the one that has less to do, by what it told and what was sent there', () => {
-    choice.recordAnswer(a, 'u', { load: 5, leaving: false })
-    choice.recordAnswer(b, 'u', { load: 1, leaving: false })
+  it('selects the home with the lower load, reported or sent by this host', () => {
+    selector.recordAnswer(a, 'u', { load: 5, leaving: false })
+    selector.recordAnswer(b, 'u', { load: 1, leaving: false })
     expect(chosen()).toEqual('b')
     for (let count = 0; count < 8; count++) {
-      choice.recordSent(b, 'u')
+      selector.recordSent(b, 'u')
     }
     expect(chosen()).toEqual('a')
-    expect(choice.loadOf('u')).toEqual(8)
-    expect(choice.loadOf('another')).toEqual(0)
+    expect(selector.inProgressAt('u')).toEqual(8)
+    expect(selector.inProgressAt('another')).toEqual(0)
   })
 
-  it('prefers one home for an organisation, until that has more to do than another connection costs', () => {
+  it('prefers one home per organisation until its load costs more than a new connection elsewhere', () => {
     const homes = ['a', 'b', 'c', 'd'].map((name) => homeNamed(name))
-    const of = (organisation: string): string | undefined => choice.choose('u', homes, NONE, organisation)?.name
+    const of = (organisation: string): string | undefined => selector.choose('u', homes, NONE, organisation)?.name
     const preferred = of('red')!
     expect(Array.from({ length: 20 }, () => of('red')).every((name) => name === preferred)).toEqual(true)
     const organisations = Array.from({ length: 40 }, (_, index) => `o${index}`)
     expect(new Set(organisations.map(of)).size).toEqual(homes.length)
-    choice.recordAnswer(homeNamed(preferred), 'u', { load: 8, leaving: false })
+    selector.recordAnswer(homeNamed(preferred), 'u', { load: 8, leaving: false })
     expect(of('red') === preferred).toEqual(false)
-    expect(choice.choose('u', homes.filter(({ name }) => name !== preferred), NONE, 'red') === undefined).toEqual(false)
+    expect(selector.choose('u', homes.filter(({ name }) => name !== preferred), NONE, 'red') === undefined).toEqual(false)
   })
 
-  it('forgets what a home told some time ago', () => {
-    choice.recordAnswer(a, 'u', { load: 8, leaving: false })
-    choice.recordSent(b, 'u')
+  it('decays the load that a home has reported', () => {
+    selector.recordAnswer(a, 'u', { load: 8, leaving: false })
+    selector.recordSent(b, 'u')
     expect(chosen()).toEqual('b')
     clock.tick(LOAD_HALF_LIFE_MS * 5)
     expect(chosen()).toEqual('a')
   })
 
-  it('takes the one whose answers take less beyond their statements, until that is some time ago', () => {
-    choice.recordAnswer(a, 'u', { load: 0, leaving: false }, 120)
-    choice.recordAnswer(b, 'u', { load: 2, leaving: false }, 4)
+  it('selects the home with the lower overhead of answers, and decays the overhead', () => {
+    selector.recordAnswer(a, 'u', { load: 0, leaving: false }, 120)
+    selector.recordAnswer(b, 'u', { load: 2, leaving: false }, 4)
     expect(chosen()).toEqual('b')
-    clock.tick(OVERHEAD.halfLifeMs * 8)
-    choice.recordSent(b, 'u')
+    clock.tick(OVERHEAD_AVERAGE.halfLifeMs * 8)
+    selector.recordSent(b, 'u')
     expect(chosen()).toEqual('a')
   })
 
-  it('passes over one that failed until it answers', () => {
-    choice.recordFailure(a)
-    clock.tick(PROBE_AGAIN_MS * 10)
+  it('skips a home that failed until it answers', () => {
+    selector.recordFailure(a)
+    clock.tick(PROBE_INTERVAL_MS * 10)
     expect(chosen([a])).toEqual(undefined)
-    choice.recordAnswer(a, 'u')
+    selector.recordAnswer(a, 'u')
     expect(chosen([a])).toEqual('a')
   })
 
-  it('has one at a time asked again of those that failed, the one that was asked longest ago', () => {
-    choice.recordFailure(a)
+  it('probes silent homes one at a time, the one probed the longest ago first', () => {
+    selector.recordFailure(a)
     clock.tick(1)
-    choice.recordFailure(b)
-    clock.tick(PROBE_AGAIN_MS - 2)
-    expect(choice.takeDueProbe([a, b])).toEqual(undefined)
+    selector.recordFailure(b)
+    clock.tick(PROBE_INTERVAL_MS - 2)
+    expect(selector.takeDueProbe([a, b])).toEqual(undefined)
     for (const due of [a, b, a, b]) {
-      clock.tick(PROBE_AGAIN_MS)
-      expect(choice.takeDueProbe([b, a])).toEqual(due)
-      expect(choice.takeDueProbe([b, a])).toEqual(undefined)
+      clock.tick(PROBE_INTERVAL_MS)
+      expect(selector.takeDueProbe([b, a])).toEqual(due)
+      expect(selector.takeDueProbe([b, a])).toEqual(undefined)
     }
-    choice.recordAnswer(a, 'u')
-    choice.recordAnswer(b, 'u')
-    clock.tick(PROBE_AGAIN_MS)
-    expect(choice.takeDueProbe([a, b])).toEqual(undefined)
+    selector.recordAnswer(a, 'u')
+    selector.recordAnswer(b, 'u')
+    clock.tick(PROBE_INTERVAL_MS)
+    expect(selector.takeDueProbe([a, b])).toEqual(undefined)
   })
 
-  it('counts several failures as one', () => {
-    choice.recordFailure(a)
-    clock.tick(PROBE_AGAIN_MS - 1)
-    choice.recordFailure(a)
+  it('does not postpone the probe when a silent home fails again', () => {
+    selector.recordFailure(a)
+    clock.tick(PROBE_INTERVAL_MS - 1)
+    selector.recordFailure(a)
     clock.tick(1)
-    expect(choice.takeDueProbe([a])).toEqual(a)
+    expect(selector.takeDueProbe([a])).toEqual(a)
   })
 
-  it('leaves one that is stopping, until another process runs there', () => {
-    choice.recordAnswer(a, 'u', { load: 0, leaving: true })
+  it('skips a home that is leaving until another process runs there', () => {
+    selector.recordAnswer(a, 'u', { load: 0, leaving: true })
     expect(chosen([a])).toEqual(undefined)
     expect(chosen([homeNamed('a', 'a-2')])).toEqual('a')
   })
 
-  it('takes none twice for one statement', () => {
+  it('does not select a home that was already tried for the statement', () => {
     expect(chosen([a, b], new Set(['a']))).toEqual('b')
     expect(chosen([a, b], new Set(['a', 'b']))).toEqual(undefined)
   })
 
-  it('keeps what it has seen of a restarted process when a statement of the one before ends late', () => {
+  it('keeps the state of a restarted process when a statement of the previous process ends late', () => {
     const restarted = homeNamed('a', 'a-2', 2)
-    choice.recordSent(a, 'u')
-    choice.recordFailure(restarted)
-    choice.recordEnded(a, 'u')
-    choice.recordFailure(a)
-    expect(choice.isSilent(restarted)).toEqual(true)
-    expect(choice.loadOf('u')).toEqual(0)
+    selector.recordSent(a, 'u')
+    selector.recordFailure(restarted)
+    selector.recordEnded(a, 'u')
+    selector.recordFailure(a)
+    expect(selector.isSilent(restarted)).toEqual(true)
+    expect(selector.inProgressAt('u')).toEqual(0)
   })
 
-  it('remembers no more hosts than there are, however many come and go', () => {
+  it('drops the state of hosts that are gone', () => {
     for (let number = 0; number < 5000; number++) {
       const host = homeNamed(`host-${number}`)
-      choice.recordSent(host, `upstream-${number}`)
-      choice.recordAnswer(host, `upstream-${number}`, { load: 1, leaving: false })
-      choice.recordEnded(host, `upstream-${number}`)
-      choice.retain([host])
-      choice.forgetUpstream(`upstream-${number}`)
+      selector.recordSent(host, `upstream-${number}`)
+      selector.recordAnswer(host, `upstream-${number}`, { load: 1, leaving: false })
+      selector.recordEnded(host, `upstream-${number}`)
+      selector.retainHosts([host])
+      selector.forgetUpstream(`upstream-${number}`)
     }
-    expect(choice.remembered).toEqual(1)
+    expect(selector.hostCount).toEqual(1)
   })
 
-  it('goes on counting what is in progress at a host that is gone', () => {
-    choice.recordSent(a, 'u')
-    choice.retain([b])
-    expect(choice.loadOf('u')).toEqual(1)
-    choice.recordEnded(a, 'u')
-    choice.retain([b])
-    expect([choice.loadOf('u'), choice.remembered]).toEqual([0, 0])
+  it('keeps counting statements in progress at a host that is gone', () => {
+    selector.recordSent(a, 'u')
+    selector.retainHosts([b])
+    expect(selector.inProgressAt('u')).toEqual(1)
+    selector.recordEnded(a, 'u')
+    selector.retainHosts([b])
+    expect([selector.inProgressAt('u'), selector.hostCount]).toEqual([0, 0])
   })
 })
--- a/test/entry/homes/home-watch.test.ts
+++ b/test/entry/homes/home-watch.test.ts
@@ -4,122 +4,123 @@
 import { RequestError } from '../../../src/core/errors/index.ts'
 import { silentLogger } from '../../../src/core/logger/index.ts'
 import { pause } from '../../../src/core/time/deadline.ts'
-import { createHomeChoice, type HomeChoice } from '../../../src/entry/homes/home-choice.ts'
+import { createHomeSelector, type HomeSelector } from '../../../src/entry/homes/home-choice.ts'
 import {
-  createHomeWatch, HOME_GONE_MS, PROBE_ANSWER_MS, PROBE_OTHERS, UNHEARD_MS, type HomeWatch
+  createHomeFailureDetector, DISCONNECT_AFTER_MS, PROBE_AFTER_IDLE_MS, PROBE_ALL, SUSPECT_AFTER_MS,
+  type HomeFailureDetector
 } from '../../../src/entry/homes/home-watch.ts'
 import type { KnownHost } from '../../../src/entry/registry/index.ts'
 
 const HOME: KnownHost = { name: 'h1', version: 1, address: '127.0.0.1', port: 1, failureDomain: 'x', process: 'p' }
 
-/** A home that takes a while for each question. */
+/** A home that answers each request after a fixed time, and the failure detector that probes it. */
 class SlowHome {
-  asked = 0
-  /** Homes that the host knows. */
+  requests = 0
+  /** Homes that this host may forward statements to. */
   homes: KnownHost[] = [HOME]
-  broken = 0
-  readonly choice: HomeChoice = createHomeChoice()
-  readonly watch: HomeWatch
+  disconnects = 0
+  readonly selector: HomeSelector = createHomeSelector()
+  readonly detector: HomeFailureDetector
 
   constructor (answerMs: number) {
-    this.watch = createHomeWatch({
-      choice: this.choice,
+    this.detector = createHomeFailureDetector({
+      selector: this.selector,
       homes: () => this.homes,
       logger: silentLogger,
       links: {
         request: async (_home, _type, _body, timeoutMs) => {
-          this.asked++
+          this.requests++
           await pause(Math.min(answerMs, timeoutMs))
           if (answerMs > timeoutMs) {
             throw new RequestError('may-have-run', 'PeerUnavailable', { peer: 'h1', reason: 'no answer in time' })
           }
           return {}
         },
-        disconnect: () => { this.broken++ }
+        disconnect: () => { this.disconnects++ }
       }
     })
   }
 
-  get isPassedOver (): boolean {
-    return this.choice.choose('u', [HOME], new Set()) === undefined
+  get isSkipped (): boolean {
+    return this.selector.choose('u', [HOME], new Set()) === undefined
   }
 }
 
-describe('a home that statements wait for', () => {
+describe('createHomeFailureDetector', () => {
   let clock: Clock
   beforeEach(() => { clock = fakeTimers.install() })
   afterEach(() => clock.uninstall())
 
-  it('is suspected and passed over when it is busy, and keeps its link', async () => {
-    const home = new SlowHome(HOME_GONE_MS - 100)
-    const there = home.watch.isAlive(HOME)
-    await clock.tickAsync(PROBE_ANSWER_MS)
-    expect(await there).toEqual(false)
-    expect(home.isPassedOver).toEqual(true)
-    await clock.tickAsync(HOME_GONE_MS)
-    expect(home.broken).toEqual(0)
-    expect(home.isPassedOver).toEqual(false)
+  it('skips a slow home until it answers, and keeps its link', async () => {
+    const home = new SlowHome(DISCONNECT_AFTER_MS - 100)
+    const alive = home.detector.isAlive(HOME)
+    await clock.tickAsync(SUSPECT_AFTER_MS)
+    expect(await alive).toEqual(false)
+    expect(home.isSkipped).toEqual(true)
+    await clock.tickAsync(DISCONNECT_AFTER_MS)
+    expect(home.disconnects).toEqual(0)
+    expect(home.isSkipped).toEqual(false)
   })
 
-  it('loses its link when it stays silent', async () => {
+  it('closes the link to a home that stays silent', async () => {
     const home = new SlowHome(Infinity)
-    const there = home.watch.isAlive(HOME)
-    await clock.tickAsync(HOME_GONE_MS)
-    expect(await there).toEqual(false)
-    expect(home.broken).toEqual(1)
+    const alive = home.detector.isAlive(HOME)
+    await clock.tickAsync(DISCONNECT_AFTER_MS)
+    expect(await alive).toEqual(false)
+    expect(home.disconnects).toEqual(1)
   })
 
-  it('is asked once by all who wait for it, and not when it has answered just now', async () => {
+  it('shares one probe among concurrent callers, and sends none to a home that has answered recently', async () => {
     const home = new SlowHome(10)
-    const there = Promise.all([home.watch.isAlive(HOME), home.watch.isAlive(HOME)])
+    const alive = Promise.all([home.detector.isAlive(HOME), home.detector.isAlive(HOME)])
     await clock.tickAsync(10)
-    expect(await there).toEqual([true, true])
-    expect(await home.watch.isAlive(HOME)).toEqual(true)
-    expect(home.asked).toEqual(1)
+    expect(await alive).toEqual([true, true])
+    expect(await home.detector.isAlive(HOME)).toEqual(true)
+    expect(home.requests).toEqual(1)
   })
 
-  it('has all others that have answered before asked when several are silent', async () => {
+  it('probes all other homes that have answered before when several are silent', async () => {
     const home = new SlowHome(Infinity)
     home.homes = Array.from({ length: 6 }, (_, index) => ({ ...HOME, name: `h${index}` }))
     const [first, second, third, , ...others] = home.homes as [KnownHost, KnownHost, KnownHost, ...KnownHost[]]
     const answered = [third, ...others]
-    answered.forEach((other) => home.choice.recordAnswer(other, ''))
-    await clock.tickAsync(UNHEARD_MS + 1)
-    void home.watch.isAlive(first)
-    await clock.tickAsync(PROBE_ANSWER_MS)
-    expect(home.asked).toEqual(1)
-    void home.watch.isAlive(second)
-    await clock.tickAsync(PROBE_ANSWER_MS)
-    expect(home.asked).toEqual(2 + answered.length)
-    await clock.tickAsync(PROBE_ANSWER_MS)
-    expect(answered.filter((other) => home.choice.isSilent(other)).length).toEqual(answered.length)
-    await clock.tickAsync(HOME_GONE_MS + PROBE_OTHERS.pauseMs)
-    const before = home.asked
-    home.choice.recordAnswer(third, '')
-    void home.watch.isAlive(first)
-    await clock.tickAsync(HOME_GONE_MS)
-    expect(home.asked).toEqual(before + 1)
+    answered.forEach((other) => home.selector.recordAnswer(other, ''))
+    await clock.tickAsync(PROBE_AFTER_IDLE_MS + 1)
+    void home.detector.isAlive(first)
+    await clock.tickAsync(SUSPECT_AFTER_MS)
+    expect(home.requests).toEqual(1)
+    void home.detector.isAlive(second)
+    await clock.tickAsync(SUSPECT_AFTER_MS)
+    expect(home.requests).toEqual(2 + answered.length)
+    await clock.tickAsync(SUSPECT_AFTER_MS)
+    expect(answered.filter((other) => home.selector.isSilent(other)).length).toEqual(answered.length)
+    await clock.tickAsync(DISCONNECT_AFTER_MS + PROBE_ALL.minIntervalMs)
+    const before = home.requests
+    home.selector.recordAnswer(third, '')
+    void home.detector.isAlive(first)
+    await clock.tickAsync(DISCONNECT_AFTER_MS)
+    expect(home.requests).toEqual(before + 1)
   })
 
-  it('has all other silent ones asked when one is back', async () => {
+  it('probes all silent homes when one of them answers', async () => {
     const home = new SlowHome(1)
     home.homes = Array.from({ length: 6 }, (_, index) => ({ ...HOME, name: `h${index}` }))
-    home.homes.forEach((other) => home.choice.recordFailure(other))
-    void home.watch.isAlive(home.homes[0]!)
+    home.homes.forEach((other) => home.selector.recordFailure(other))
+    void home.detector.isAlive(home.homes[0]!)
     await clock.tickAsync(10)
-    expect(home.homes.some((other) => home.choice.isSilent(other))).toEqual(false)
-    expect(home.asked).toEqual(6)
+    expect(home.homes.some((other) => home.selector.isSilent(other))).toEqual(false)
+    expect(home.requests).toEqual(6)
   })
 
-  it('has those told who wait there, as long as they do', async () => {
+  it('reports a suspected home only while a request waits for it', async () => {
     const home = new SlowHome(Infinity)
-    let told = 0
-    const stop = home.watch.probeWhileWaiting(HOME, () => { told++ })
-    await clock.tickAsync(UNHEARD_MS + PROBE_ANSWER_MS)
-    expect(told > 0).toEqual(true)
+    let suspicions = 0
+    const stop = home.detector.probeWhileWaiting(HOME, () => { suspicions++ })
+    await clock.tickAsync(PROBE_AFTER_IDLE_MS + SUSPECT_AFTER_MS)
+    expect(suspicions > 0).toEqual(true)
     stop()
-    const before = told
-    await clock.tickAsync(HOME_GONE_MS)
-    expect(told).toEqual(before)
+    const before = suspicions
+    await clock.tickAsync(DISCONNECT_AFTER_MS)
+    expect(suspicions).toEqual(before)
   })
 })
--- a/test/entry/process/homes.test.ts
+++ b/test/entry/process/homes.test.ts
@@ -5,11 +5,11 @@
 import { FAKE_CAP, FAKE_DOMAIN, FAKE_SLOTS, type FakeCaller, type FakeRoute } from '../../fixtures/fleet/world.ts'
 
 const HOSTS = ['h1', 'h2', 'h3', 'h4', 'h5', 'h6']
-/** Time that a busy home takes for each message, in milliseconds: it is suspected, and its link is kept. */
+/** Time that a busy home takes for each message, in milliseconds: it is suspected but not disconnected. */
 const BUSY_MS = 450
 const VIEW: FakeRoute = { database: 'view', group: 'g', freshness: { type: 'bounded', maximumAgeMs: 1500 }, timeoutMs: 800 }
 
-/** Homes of an upstream, and the hosts that are none. */
+/** Splits the hosts into the homes of an upstream and the others. */
 function rolesAt (upstream: string): { homes: string[], others: string[] } {
   const hosts = HOSTS.map((name) => ({ name, failureDomain: FAKE_DOMAIN }))
   const placed = { upstream, failureDomain: FAKE_DOMAIN, slots: FAKE_SLOTS }
@@ -17,7 +17,7 @@
   return { homes, others: HOSTS.filter((name) => !homes.includes(name)) }
 }
 
-describe('a host that is no home of an upstream', () => {
+describe('a host that is not a home of an upstream', () => {
   const suite = setUpWorld(HOSTS, [MONEY, VIEW])
   const { homes, others } = rolesAt('g-a')
   const [other] = others as [string]
@@ -30,7 +30,7 @@
     return caller
   }
 
-  it('passes its statements on and opens no connection of its own', async () => {
+  it('forwards its statements and opens no connection of its own', async () => {
     for (let turn = 0; turn < 20; turn++) {
       expect((await suite.settle(suite.world.connect(other, 'money').write(), 100)).failure).toEqual(undefined)
       expect((await suite.settle(suite.world.connect(other, 'money').read(), 100)).failure).toEqual(undefined)
@@ -39,14 +39,14 @@
     expect(homes.reduce((sum, host) => sum + connectionsOf(host), 0) > 0).toEqual(true)
   })
 
-  it('learns from the answers how fresh the log is, so that its reads go to replicas', async () => {
+  it('learns the log position from replies, so that its bounded reads go to replicas', async () => {
     await suite.settle(suite.world.connect(other, 'money').write(), 100)
     const before = suite.world.upstreams.runs.length
     expect((await suite.settle(suite.world.connect(other, 'view').read(), 100)).failure).toEqual(undefined)
     expect(suite.world.upstreams.runs.at(before)?.upstream === 'g-a').toEqual(false)
   })
 
-  it('keeps a transaction on one connection, and its statements apart from those of others', async () => {
+  it('runs a transaction on one connection, isolated from other transactions', async () => {
     const caller = await begin(other)
     const first = await suite.settle(caller.write(), 50)
     const second = await begin(other)
@@ -61,7 +61,7 @@
     expect(new Set(runs.map(({ connection }) => connection)).size).toEqual(1)
   })
 
-  it('gives connections back after commits and rollbacks, so that the next ones find them', async () => {
+  it('reuses connections after commits and rollbacks', async () => {
     for (let turn = 0; turn < 40; turn++) {
       const caller = await begin(other)
       await suite.settle(caller.write(), 50)
@@ -71,7 +71,7 @@
     expect(primary().connections.size < 8).toEqual(true)
   })
 
-  it('has the transaction of a caller that leaves rolled back', async () => {
+  it('rolls back the transaction of a caller that disconnects', async () => {
     const caller = await begin(other)
     await suite.settle(caller.write(), 50)
     caller.close()
@@ -80,7 +80,7 @@
     expect(suite.world.openPassedTransactions()).toEqual(0)
   })
 
-  it('has its transactions rolled back when the link breaks, and leaves one listener there, not one for each', async () => {
+  it('rolls back its transactions when a link breaks, with at most one listener per link', async () => {
     for (let turn = 0; turn < 12; turn++) {
       const caller = await begin(other)
       await suite.settle(caller.write(), 50)
@@ -100,7 +100,7 @@
     expect(primary().log.length).toEqual(0)
   })
 
-  it('refuses the commit of a transaction whose home has gone, and nothing of it is kept', async () => {
+  it('refuses to commit a transaction whose homes have stopped, and nothing of it is stored', async () => {
     const caller = await begin(other)
     await suite.settle(caller.write(), 50)
     await Promise.all([...homes.map(async (home) => await suite.world.kill(home)), suite.clock.tickAsync(10)])
@@ -109,7 +109,7 @@
     expect(primary().log.length).toEqual(0)
   })
 
-  it('goes to another home when one is gone, and to the upstream itself when all are', async () => {
+  it('uses another home when one is gone, and connects to the upstream itself when all are', async () => {
     for (const home of homes) {
       await Promise.all([suite.world.kill(home), suite.clock.tickAsync(10)])
       const { failure } = await suite.settle(suite.world.connect(other, 'money').write(), 700)
@@ -118,7 +118,7 @@
     expect(connectionsOf(other)).toEqual(1)
   })
 
-  it('leaves no write in doubt with a home that has stood still for a while, and has another one serve it', async () => {
+  it('sends writes to another home when one has been silent for a while, and none is in doubt', async () => {
     suite.world.silent.add(homes[0]!)
     await suite.clock.tickAsync(400)
     const outcomes = await suite.settle(Promise.all(
@@ -127,21 +127,21 @@
     expect(outcomes.filter(({ failure }) => failure === undefined).length).toEqual(10)
   })
 
-  it('reads elsewhere within half a second when a home stands still', async () => {
-    const [still] = rolesAt('g-b').homes as [string]
+  it('serves reads elsewhere within half a second when a home is silent', async () => {
+    const [silentHome] = rolesAt('g-b').homes as [string]
     const reader = HOSTS.find((name) => !rolesAt('g-b').homes.includes(name))!
     for (const replica of ['g-c', 'g-a']) {
       suite.world.upstreams.all.get(replica)!.workMs = 60
     }
     await suite.settle(suite.world.connect(reader, 'money').write(), 300)
-    suite.world.silent.add(still)
+    suite.world.silent.add(silentHome)
     for (let turn = 0; turn < 8; turn++) {
       const { failure } = await suite.settle(suite.world.connect(reader, 'view').read(), 500)
       expect(failure).toEqual(undefined)
     }
   })
 
-  it('waits for the answer to a write at a busy home, and leaves it with what can run elsewhere', async () => {
+  it('waits for a write in progress at a busy home, and sends reads elsewhere', async () => {
     const [busy] = homes as [string]
     suite.world.upstreams.all.get('g-a')!.workMs = 60
     const writing = Promise.all(
@@ -156,7 +156,7 @@
     }
   })
 
-  it('has a transaction rolled back that has begun at a busy home after it was left there', async () => {
+  it('rolls back a transaction that a busy home has begun after the caller abandoned it', async () => {
     homes.forEach((home) => suite.world.busy.set(home, BUSY_MS))
     const caller = await begin(other)
     const writing = caller.write()
@@ -168,7 +168,7 @@
     expect(primary().log.length).toEqual(0)
   })
 
-  it('is served by the home that reaches the primary when others have lost it', async () => {
+  it('uses the home that still reaches the primary when other homes have lost it', async () => {
     homes.slice(0, 2).forEach((home) => primary().cutOff.add(home))
     await suite.clock.tickAsync(100)
     for (let turn = 0; turn < 8; turn++) {
@@ -178,7 +178,7 @@
     expect(suite.world.upstreams.promotions.length).toEqual(0)
   })
 
-  it('leaves a home that is told to stop, and no transaction there is cut off', async () => {
+  it('moves to other hosts when its homes stop, and can still commit an open transaction', async () => {
     const caller = await begin(other)
     const { id } = await suite.settle(caller.write(), 50)
     const stopping = Promise.all(homes.map(async (home) => await suite.world.hosts.get(home)!.kernel.stop()))
@@ -192,7 +192,7 @@
     homes.forEach((home) => { suite.world.hosts.get(home)!.running = false })
   })
 
-  it('has nothing run by a newer desired state than the one that is in force at the host which runs it', async () => {
+  it('does not forward a statement to a home whose desired state is older than its own', async () => {
     const fresh = { ...MONEY, database: 'fresh' }
     homes.forEach((home) => suite.world.store.cutOff.add(home))
     suite.world.lostTypes.add('table-changes')
