--- a/src/entry/limits/index.ts
+++ b/src/entry/limits/index.ts
@@ -27,9 +27,9 @@
    */
   take: (organisation: Organisation) => Promise<void>
   /** Gives back an operation that was certainly not run. */
-  giveBack: (organisation: Organisation) => void
+  refund: (organisation: Organisation) => void
   /** Counts a repetition of an operation that may have run. */
-  countAgain: (organisation: string) => void
+  countRetry: (organisation: string) => void
 }
 
 declare module '../../core/kernel/index.ts' {
@@ -105,12 +105,12 @@
         await grants.take(name)
       }
     },
-    giveBack: ({ name, limit }) => {
+    refund: ({ name, limit }) => {
       if (limit !== undefined) {
         grants.giveBack(name)
       }
     },
-    countAgain: (name) => {
+    countRetry: (name) => {
       if (limitOf(name) !== undefined) {
         grants.countAgain(name)
       }
--- a/src/entry/requests/reads.ts
+++ b/src/entry/requests/reads.ts
@@ -150,7 +150,7 @@
       return { ...finalAnswerOf(outcome), upstream }
     }
     if (decision.mayHaveRun) {
-      context.limits.countAgain(scope.organisation ?? '')
+      context.limits.countRetry(scope.organisation ?? '')
     }
     logRepeat(context, scope, upstream, cause, place)
     if (decision.elsewhere) {
--- a/src/entry/requests/session-transaction.ts
+++ b/src/entry/requests/session-transaction.ts
@@ -70,7 +70,7 @@
     return await open.execute(scope, work)
   } catch (thrown) {
     if (!open.begun) {
-      session.context.limits.giveBack(open.organisation)
+      session.context.limits.refund(open.organisation)
     }
     return { ...failureAnswer('aborted', '', 'failed'), failure: failureOf(thrown, true) }
   } finally {
--- a/src/entry/requests/single-statement.ts
+++ b/src/entry/requests/single-statement.ts
@@ -31,7 +31,7 @@
   await limits.take(organisation)
   const giveBackUnlessRun = (verdict: Verdict): void => {
     if (verdict === 'not-run') {
-      limits.giveBack(organisation)
+      limits.refund(organisation)
     }
   }
   try {
