--- a/src/entry/limits/granted-metric.ts
+++ b/src/entry/limits/granted-metric.ts
@@ -1,18 +1,18 @@
-/** Which organisations the metric of granted operations names: those that were granted most. */
+/** Limits the number of series of the metric of granted operations. */
 import type { OwnedLimit } from './limit-owner.ts'
 
-/** Organisations that the metric names: each is a series of its own. */
-const NAMED_IN_METRICS = 10
+/** Number of organisations that have a series of their own. */
+const MAX_NAMED_ORGANISATIONS = 10
 
 /**
- * Sums up what was granted.
+ * Computes the values of the metric.
  *
  * @param owned - the limits that this host owns, by organisation
- * @returns operations of those that were granted most, and of the others together
+ * @returns granted operations of the organisations with the most grants, and the sum for all `others`
  */
 export function grantedByOrganisation (owned: ReadonlyMap<string, OwnedLimit>): Record<string, number> {
   const sorted = [...owned].map(([name, { granted }]) => [name, granted] as const)
     .sort(([, left], [, right]) => right - left)
-  const others = sorted.slice(NAMED_IN_METRICS).reduce((sum, [, granted]) => sum + granted, 0)
-  return { ...Object.fromEntries(sorted.slice(0, NAMED_IN_METRICS)), others }
+  const others = sorted.slice(MAX_NAMED_ORGANISATIONS).reduce((sum, [, granted]) => sum + granted, 0)
+  return { ...Object.fromEntries(sorted.slice(0, MAX_NAMED_ORGANISATIONS)), others }
 }
--- a/src/entry/limits/index.ts
+++ b/src/entry/limits/index.ts
@@ -1,34 +1,33 @@
 /**
- * Plug-in `limits`: what organisations may ask for, on all hosts together. Each limit is owned by one host, the first
- * that answers in an order that is the same everywhere; the others ask it before they begin an operation. README.md
- * names the module of each decision.
+ * Plug-in `limits`: limits the operations of each organisation across all hosts. Each limit is owned by one host, which
+ * all hosts determine in the same way; the others request grants from it before they run operations. README.md lists
+ * the modules.
  */
 import type { EntrySettings } from '../../core/config/entry-settings.ts'
 import { registerPlugin, type PluginContext } from '../../core/kernel/index.ts'
 import type { OperationLimit, Organisation } from '../ports/index.ts'
 import { grantedByOrganisation } from './granted-metric.ts'
-import { createLimitOrder } from './limit-order.ts'
+import { createOwnerOrder } from './limit-order.ts'
 import { createLimitOwner, type LimitOwner } from './limit-owner.ts'
-import { answerLimitQuestion, createLimitQuestions } from './limit-questions.ts'
+import { answerGrantRequest, createGrantRequester } from './limit-questions.ts'
 import { createPrefetchedGrants, type PrefetchedGrants } from './prefetched-grants.ts'
 import { watchProcessPauses } from './process-pauses.ts'
 import { createRecentRequesters } from './recent-requesters.ts'
-import { seenPartOf } from './seen-part.ts'
+import { reachableShareOf } from './seen-part.ts'
 import type { Grant } from './token-bucket.ts'
 
 /** Service of the plug-in. */
 export interface Limits {
   /**
-   * Takes one operation from what an organisation's limit leaves.
+   * Takes one operation from the limit of an organisation; returns immediately when it has no limit.
    *
    * @param organisation - the organisation
-   * @returns at once where it has no limit
-   * @throws RequestError `LimitReached` with verdict `not-run` and the time to come back
+   * @throws RequestError `LimitReached` with verdict `not-run` and the time after which to retry
    */
   take: (organisation: Organisation) => Promise<void>
-  /** Gives back an operation that was certainly not run. */
+  /** Refunds an operation that did not run. */
   refund: (organisation: Organisation) => void
-  /** Counts a repetition of an operation that may have run. */
+  /** Counts the retry of an operation that may have run. */
   countRetry: (organisation: string) => void
 }
 
@@ -51,31 +50,31 @@
     const limitOf = (organisation: string): OperationLimit | undefined =>
       desiredState.current?.organisations.get(organisation)?.limit
 
-    const requesters = createRecentRequesters({ check: homes.probe })
+    const requesters = createRecentRequesters({ probe: homes.probe })
     const owner = createOwner(context, (host) => requesters.isRecent(host))
     const pauses = watchProcessPauses()
-    const order = createLimitOrder({ registry, pauses })
+    const order = createOwnerOrder({ registry, pauses })
     desiredState.onChange(({ organisations }) => order.retain(organisations))
-    const grantHere = (organisation: string, wanted: number): Grant | undefined => {
+    const grantLocally = (organisation: string, wanted: number): Grant | undefined => {
       const grant = owner.grant(organisation, wanted, order.ownershipOf(organisation))
       if (grant !== undefined && grant.granted < wanted) {
-        requesters.checkSilent(registry.peers())
+        requesters.probeSilent(registry.peers())
       }
       return grant
     }
-    const ask = createLimitQuestions({
-      registry, homes, links, logger, count, version, orderOf: order.of, grantHere
+    const requestGrant = createGrantRequester({
+      registry, homes, links, logger, count, version, orderOf: order.of, grantLocally
     })
     handle('limit-take', async (body, link) => {
       requesters.record(link.host)
-      return await answerLimitQuestion(body, { grantHere, version, reach: desiredState.reach })
+      return await answerGrantRequest(body, { grantLocally, version, reach: desiredState.reach })
     })
     metrics.expose(
       'worksward_limit_granted', 'Operations granted by this host as the one that keeps limits',
       () => grantedByOrganisation(owner.owned()))
 
     return {
-      service: serviceOf(createPrefetchedGrants({ ask, limitOf }), limitOf),
+      service: serviceOf(createPrefetchedGrants({ requestGrant, limitOf }), limitOf),
       dump: () => Object.fromEntries([...owner.owned()].map(([name, owned]) => [name, { ...owned, ...limitOf(name) }])),
       close: pauses.close
     }
@@ -89,13 +88,13 @@
   return createLimitOwner({
     desiredState: () => desiredState.current,
     counting: () => (settings as EntrySettings).limits,
-    seenPart: () => seenPartOf(registry.peers().map((host) => ({
+    reachableShare: () => reachableShareOf(registry.peers().map((host) => ({
       reachability: homes.reachability(host), isRecentRequester: isRecentRequester(host.name)
     })))
   })
 }
 
-/** Organisations without a limit take nothing. */
+/** Builds the service, which skips organisations without a limit. */
 function serviceOf (
   grants: PrefetchedGrants, limitOf: (organisation: string) => OperationLimit | undefined
 ): Limits {
@@ -107,12 +106,12 @@
     },
     refund: ({ name, limit }) => {
       if (limit !== undefined) {
-        grants.giveBack(name)
+        grants.refund(name)
       }
     },
     countRetry: (name) => {
       if (limitOf(name) !== undefined) {
-        grants.countAgain(name)
+        grants.countRetry(name)
       }
     }
   }
--- a/src/entry/limits/limit-order.ts
+++ b/src/entry/limits/limit-order.ts
@@ -1,49 +1,48 @@
 /**
- * Who owns the limit of an organisation, who is its deputy, and since when that cannot have been another host.
+ * Determines the owner of each organisation's limit, its fallback owners, and since when no other host can have owned
+ * it.
  *
- * Inputs: the list of live hosts, which of them are leaving, pauses of this process. Rule: the order of hosts by
- * rendezvous hashing for the organisation, those that are leaving left out unless all are; the first owns the limit,
- * and each further one is a deputy while those before it do not answer. No other host can have owned it since the list
- * last changed and since this process last was paused. Why: hosts that know the same list find the same owner without a
- * message.
+ * Live hosts are ordered by rendezvous hashing for the organisation, without those that are leaving unless all are. The
+ * first is the owner, and each further one is a fallback owner while all before it are silent. Ownership is exclusive
+ * since the last change of the list of hosts or the last pause of this process, whichever is later.
  */
 import { orderByScore } from '../../placement/upstream-homes.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
 import type { Ownership } from './limit-owner.ts'
 import type { ProcessPauseWatch } from './process-pauses.ts'
 
-/** Options of {@link createLimitOrder}. */
-interface LimitOrderOptions {
+/** Options of {@link createOwnerOrder}. */
+interface OwnerOrderOptions {
   registry: Pick<Registry, 'current' | 'self' | 'onChange'>
   pauses: Pick<ProcessPauseWatch, 'runningSince'>
 }
 
-/** The order of hosts for limits. */
-interface LimitOrder {
-  /** Hosts in the order in which they own an organisation's limit. */
+/** Order in which hosts own the limits. */
+interface OwnerOrder {
+  /** Hosts that may own an organisation's limit: the owner, then its fallback owners. */
   of: (organisation: string) => KnownHost[]
-  /** What entitles this host to grant an organisation's limit. */
+  /** Position of this host as an owner of an organisation's limit. */
   ownershipOf: (organisation: string) => Ownership
-  /** Drops the orders of organisations that are no longer declared. */
+  /** Drops the cached orders of organisations that are no longer declared. */
   retain: (organisations: { has: (name: string) => boolean }) => void
 }
 
 /**
- * Creates the order.
+ * Creates the order of owners.
  *
- * @param options - the list of hosts, and pauses of this process
+ * @param options - the live hosts, and the pauses of this process
  * @returns the order
  */
-export function createLimitOrder ({ registry, pauses }: LimitOrderOptions): LimitOrder {
-  /** Orders that were computed, and the list that each was made from. */
+export function createOwnerOrder ({ registry, pauses }: OwnerOrderOptions): OwnerOrder {
+  /** Cached orders, with the list of live hosts that each was computed from. */
   const orders = new Map<string, { liveHosts: KnownHost[], order: KnownHost[] }>()
-  /** Since when the list of hosts is as it is. */
-  let listedSince = performance.now()
-  let { liveHosts: listed } = registry.current
+  /** Time of the last change of the list of live hosts. */
+  let hostsChangedAt = performance.now()
+  let { liveHosts: knownHosts } = registry.current
   registry.onChange(() => {
-    if (registry.current.liveHosts !== listed) {
-      listed = registry.current.liveHosts
-      listedSince = performance.now()
+    if (registry.current.liveHosts !== knownHosts) {
+      knownHosts = registry.current.liveHosts
+      hostsChangedAt = performance.now()
     }
   })
   const orderOf = (organisation: string): KnownHost[] => {
@@ -61,7 +60,7 @@
     of: orderOf,
     ownershipOf: (organisation) => ({
       isFirst: orderOf(organisation)[0]?.name === registry.self.name,
-      exclusiveSince: Math.max(listedSince, pauses.runningSince)
+      exclusiveSince: Math.max(hostsChangedAt, pauses.runningSince)
     }),
     retain: (organisations) => {
       [...orders.keys()].filter((name) => !organisations.has(name)).forEach((name) => orders.delete(name))
--- a/src/entry/limits/limit-owner.ts
+++ b/src/entry/limits/limit-owner.ts
@@ -1,34 +1,28 @@
 /**
- * What this host may grant of the limits that it owns, as the first in the order of hosts or as a deputy.
+ * Grants operations within the limits that this host owns, as the owner or as a fallback owner while the owner is
+ * silent (limit-order.ts).
  *
- * Inputs: whether this host is the first and since when no other can have owned the limit in its place (see
- * limit-order.ts); the part of all hosts that it can see; when operations were last requested, in milliseconds.
- * Rule: the first grants the part of the limit that the hosts it sees have of all; a deputy, and a first one for
- * {@link DEPUTY} after it became the first, a quarter at most. The bucket is created anew where another host may have
- * owned the limit since the last request; it begins full only where that cannot be within a whole window.
- * Why: hosts that are cut in two have an owner on each side, and both together must stay within the limit.
+ * An owner grants the fraction of the limit that equals its fraction of reachable hosts, since in a partition each side
+ * has an owner and both together must stay within the limit. A fallback owner, and an owner in its warm-up, grants at
+ * most {@link FALLBACK}. A new bucket starts full only when no other host can have owned the limit for a whole window.
  */
 import type { DesiredState } from '../ports/index.ts'
 import { bucketParametersOf, type LimitCounting } from './bucket-parameters.ts'
 import { createTokenBucket, type Grant, type TokenBucket } from './token-bucket.ts'
 
 /**
- * Part of the limit that a deputy grants, and for how long a host that has just become the first grants no more either,
- * in milliseconds. Lists of hosts are the same everywhere within a second, and until then some hosts ask the one that
- * owned the limit before: hosts that are cut in two would grant more than the limit allows in a window.
+ * Fraction of the limit that a fallback owner grants, and the time in milliseconds for which a new owner grants no more
+ * than that. The time exceeds the propagation of the host list, during which some hosts still ask the previous owner.
  */
-const DEPUTY = { part: 0.25, beginningMs: 1500 } as const
-/**
- * Time without a request after which the bucket is created anew, in milliseconds, if another host may have owned the
- * limit since.
- */
-const UNREQUESTED_MS = 1000
+const FALLBACK = { share: 0.25, warmUpMs: 1500 } as const
+/** Time without a request after which the bucket is replaced if another host may have owned the limit since. */
+const BUCKET_IDLE_MS = 1000
 
-/** What entitles this host to grant a limit. */
+/** Position of this host as an owner of a limit. */
 export interface Ownership {
-  /** Whether it comes first in the order of hosts; else it is the deputy of one that does not answer. */
+  /** Whether this host is the owner, first in the order of hosts; otherwise it is a fallback owner. */
   isFirst: boolean
-  /** Since when no other host can have owned the limit in its place, on the steady clock, in milliseconds. */
+  /** Time since which no other host can have owned the limit, on the monotonic clock, in milliseconds. */
   exclusiveSince: number
 }
 
@@ -36,37 +30,37 @@
 interface LimitOwnerOptions {
   desiredState: () => Pick<DesiredState, 'organisations'> | undefined
   counting: () => LimitCounting
-  /** Part of all hosts that this host can see, from 0 to 1: another may own the same limits for the rest. */
-  seenPart: () => number
+  /** Fraction of all hosts that is reachable, from 0 to 1; another host may own the same limits for the rest. */
+  reachableShare: () => number
 }
 
-/** What an organisation has requested here. */
+/** Operations granted and refused to an organisation on this host. */
 export interface OwnedLimit {
   left: number
   granted: number
   refused: number
 }
 
-/** Owns limits. */
+/** Grants operations within the limits that this host owns. */
 export interface LimitOwner {
   /**
    * Grants operations to an organisation.
    *
-   * @param organisation - its name
+   * @param organisation - name of the organisation
    * @param wanted - number of operations
-   * @param ownership - what entitles this host
-   * @returns what was granted; undefined when this host does not know the organisation
+   * @param ownership - position of this host as an owner of the limit
+   * @returns the granted operations; undefined when this host does not know the organisation
    */
   grant: (organisation: string, wanted: number, ownership: Ownership) => Grant | undefined
-  /** What was granted and refused here, by organisation. */
+  /** Operations granted and refused on this host, by organisation. */
   owned: () => Map<string, OwnedLimit>
 }
 
-/** An organisation whose limit this host owns. */
+/** State of a limit that this host owns. */
 interface OwnedOrganisation {
   bucket: TokenBucket
   requestedAt: number
-  /** Since when this host comes first; undefined while it is a deputy. */
+  /** Time since which this host is the owner; undefined while it is a fallback owner. */
   firstSince?: number
   granted: number
   refused: number
@@ -75,17 +69,17 @@
 const SECOND_MS = 1000
 
 /**
- * Creates the owner.
+ * Creates the owner of limits.
  *
- * @param options - the limits, and how much this host sees
- * @returns the owner; nothing has been granted yet
+ * @param options - the limits, and the fraction of hosts that is reachable
+ * @returns the owner
  */
-export function createLimitOwner ({ desiredState, counting, seenPart }: LimitOwnerOptions): LimitOwner {
+export function createLimitOwner ({ desiredState, counting, reachableShare }: LimitOwnerOptions): LimitOwner {
   const organisations = new Map<string, OwnedOrganisation>()
 
-  const ownedOf = (organisation: string, ownership: Ownership): OwnedOrganisation => {
+  const getOrCreateOwned = (organisation: string, ownership: Ownership): OwnedOrganisation => {
     const before = organisations.get(organisation)
-    if (before !== undefined && isStillValid(before, ownership)) {
+    if (before !== undefined && isBucketValid(before, ownership)) {
       return before
     }
     const owned = createOwned(ownership, counting().windowSeconds * SECOND_MS, before)
@@ -102,10 +96,10 @@
       if (declared.limit === undefined) {
         return { granted: wanted, retryAfterMs: 0 }
       }
-      const owned = ownedOf(organisation, ownership)
+      const owned = getOrCreateOwned(organisation, ownership)
       owned.requestedAt = performance.now()
-      const part = grantablePart(owned, ownership, seenPart)
-      const grant = owned.bucket.grant(wanted, bucketParametersOf(declared.limit, counting()), part)
+      const share = grantableShare(owned, ownership, reachableShare)
+      const grant = owned.bucket.grant(wanted, bucketParametersOf(declared.limit, counting()), share)
       owned.granted += grant.granted
       owned.refused += wanted - grant.granted
       return grant
@@ -115,30 +109,30 @@
   }
 }
 
-/** Whether no other host can have owned the limit since the last request, or that was just now. */
-function isStillValid ({ requestedAt }: OwnedOrganisation, { exclusiveSince }: Ownership): boolean {
-  return requestedAt >= exclusiveSince || performance.now() - requestedAt <= UNREQUESTED_MS
+/** Whether the bucket may still be used: it is recent, or no other host can have owned the limit since its last use. */
+function isBucketValid ({ requestedAt }: OwnedOrganisation, { exclusiveSince }: Ownership): boolean {
+  return requestedAt >= exclusiveSince || performance.now() - requestedAt <= BUCKET_IDLE_MS
 }
 
 function createOwned (
   { isFirst, exclusiveSince }: Ownership, windowMs: number, before: OwnedOrganisation | undefined
 ): OwnedOrganisation {
   const now = performance.now()
-  const isUnused = isFirst && now - exclusiveSince >= windowMs
+  const startsFull = isFirst && now - exclusiveSince >= windowMs
   return {
-    bucket: createTokenBucket(isUnused),
+    bucket: createTokenBucket(startsFull),
     requestedAt: now,
-    // One that has come first for long need not hold back at first.
-    firstSince: isUnused ? exclusiveSince : undefined,
+    // An owner of long standing skips the warm-up.
+    firstSince: startsFull ? exclusiveSince : undefined,
     granted: before?.granted ?? 0,
     refused: before?.refused ?? 0
   }
 }
 
-/** The part of the limit that this host may grant; also records since when it comes first. */
-function grantablePart (owned: OwnedOrganisation, { isFirst }: Ownership, seenPart: () => number): number {
+/** Computes the fraction of the limit that this host may grant, and updates `firstSince`. */
+function grantableShare (owned: OwnedOrganisation, { isFirst }: Ownership, reachableShare: () => number): number {
   const now = performance.now()
   owned.firstSince = isFirst ? owned.firstSince ?? now : undefined
-  const isEstablished = owned.firstSince !== undefined && now - owned.firstSince >= DEPUTY.beginningMs
-  return isEstablished ? seenPart() : Math.min(seenPart(), DEPUTY.part)
+  const isEstablished = owned.firstSince !== undefined && now - owned.firstSince >= FALLBACK.warmUpMs
+  return isEstablished ? reachableShare() : Math.min(reachableShare(), FALLBACK.share)
 }
--- a/src/entry/limits/limit-questions.ts
+++ b/src/entry/limits/limit-questions.ts
@@ -1,10 +1,8 @@
 /**
- * Which hosts are asked for one grant, and what this host answers when it is asked. Owns the questions between hosts
- * about limits.
+ * Requests grants from the owners of limits, and answers such requests of other hosts.
  *
- * Rule: the first host in the order that is not known to be silent is asked; when it does not answer in {@link
- * ANSWER_MS}, the next one, {@link HOSTS_ASKED} in all. A host that is asked by a newer desired state than its own
- * waits for that for {@link REACH_VERSION_MS}.
+ * A request goes to the first host in the order of owners that is not known to be silent, and to the next one if that
+ * does not answer. An owner with an older desired state than the requester waits briefly for the newer version.
  */
 import * as z from 'zod'
 import { describeThrown } from '../../core/errors/index.ts'
@@ -15,69 +13,72 @@
 import type { GrantAnswer } from './organisation-grants.ts'
 import type { Grant } from './token-bucket.ts'
 
-/** Time that the owner of a limit has to answer, in milliseconds. */
-const ANSWER_MS = 200
-/** Hosts that are asked for one grant: each silent one costs the caller {@link ANSWER_MS}. */
-const HOSTS_ASKED = 2
+/** Time that an owner has to answer, in milliseconds. */
+const OWNER_TIMEOUT_MS = 200
+/** Number of hosts tried for one grant; each silent one delays the caller by {@link OWNER_TIMEOUT_MS}. */
+const MAX_OWNER_ATTEMPTS = 2
 /**
- * Time that a host which is asked waits for the desired state by which it is asked, in milliseconds. Also the time
- * after which operations of an unknown organisation may be asked for again.
+ * Time that an owner waits for the requester's version of the desired state, in milliseconds. Also the retry time for
+ * an organisation that is unknown here.
  */
-const REACH_VERSION_MS = 40
+const VERSION_WAIT_MS = 40
 
-const questionSchema = z.object({
+const requestSchema = z.object({
   organisation: z.string(),
   wanted: z.number().int().positive(),
-  /** Version of the desired state of the requester. */
+  /** Version of the desired state in force at the requester. */
   version: z.number()
 })
 const answerSchema = z.object({
   granted: z.number().int().nonnegative(),
   retryAfterMs: z.number().nonnegative(),
-  /** Version of the desired state whose limit was granted. */
+  /** Version of the desired state that defines the limit. */
   version: z.number()
 })
 
-/** Options of {@link createLimitQuestions}. */
-interface LimitQuestionsOptions {
+/** Options of {@link createGrantRequester}. */
+interface GrantRequesterOptions {
   registry: Pick<Registry, 'self'>
   homes: Pick<Homes, 'firstResponsive' | 'recordAnswer' | 'recordFailure'>
   links: Pick<Peers['work'], 'request'>
   logger: Logger
   count: (outcome: 'answered' | 'failed') => void
-  /** Version of the desired state in force here. */
+  /** Version of the desired state in force on this host. */
   version: () => number
+  /** Hosts that may own the limit of an organisation, the owner first. */
   orderOf: (organisation: string) => KnownHost[]
-  /** Grants operations as the owner or a deputy. */
-  grantHere: (organisation: string, wanted: number) => Grant | undefined
+  /** Grants operations as the owner or a fallback owner; undefined when the organisation is unknown. */
+  grantLocally: (organisation: string, wanted: number) => Grant | undefined
 }
 
-/** Asks for operations; undefined when no host answered. */
-type AskForGrant = (organisation: string, wanted: number) => Promise<GrantAnswer | undefined>
+/** Requests operations from the owner of a limit; undefined when no host answered. */
+type RequestGrant = (organisation: string, wanted: number) => Promise<GrantAnswer | undefined>
 
 /**
- * Creates what asks the hosts that own limits, this one included.
+ * Creates the function that requests grants from the owners of limits, which may be this host.
  *
- * @param options - the order of hosts, and the links to them
- * @returns asks for operations
+ * @param options - the order of owners, and the links to them
+ * @returns the function
  */
-export function createLimitQuestions (options: LimitQuestionsOptions): AskForGrant {
-  const { registry, homes, links, logger, count, version, orderOf, grantHere } = options
+export function createGrantRequester (options: GrantRequesterOptions): RequestGrant {
+  const { registry, homes, links, logger, count, version, orderOf, grantLocally } = options
 
-  const askSelf = (organisation: string, wanted: number): GrantAnswer | undefined => {
-    const grant = grantHere(organisation, wanted)
-    return grant && { ...grant, version: version(), keeper: registry.self.name }
+  const requestFromSelf = (organisation: string, wanted: number): GrantAnswer | undefined => {
+    const grant = grantLocally(organisation, wanted)
+    return grant && { ...grant, version: version(), owner: registry.self.name }
   }
-  const askHost = async (host: KnownHost, organisation: string, wanted: number): Promise<GrantAnswer | undefined> => {
+  const requestFromHost = async (
+    host: KnownHost, organisation: string, wanted: number
+  ): Promise<GrantAnswer | undefined> => {
     if (host.name === registry.self.name) {
-      return askSelf(organisation, wanted)
+      return requestFromSelf(organisation, wanted)
     }
     try {
-      const question = { organisation, wanted, version: version() }
-      const answer = answerSchema.parse(await links.request(host, 'limit-take', question, ANSWER_MS))
+      const request = { organisation, wanted, version: version() }
+      const answer = answerSchema.parse(await links.request(host, 'limit-take', request, OWNER_TIMEOUT_MS))
       homes.recordAnswer(host)
       count('answered')
-      return { ...answer, keeper: host.name }
+      return { ...answer, owner: host.name }
     } catch (thrown) {
       homes.recordFailure(host, thrown)
       count('failed')
@@ -86,9 +87,9 @@
     }
   }
   return async (organisation, wanted) => {
-    for (let tries = 0; tries < HOSTS_ASKED; tries++) {
+    for (let attempt = 0; attempt < MAX_OWNER_ATTEMPTS; attempt++) {
       const host = homes.firstResponsive(orderOf(organisation))
-      const answer = host && await askHost(host, organisation, wanted)
+      const answer = host && await requestFromHost(host, organisation, wanted)
       if (answer !== undefined) {
         return answer
       }
@@ -97,24 +98,24 @@
   }
 }
 
-/** Options of {@link answerLimitQuestion}. */
-interface LimitAnswerOptions extends Pick<LimitQuestionsOptions, 'grantHere' | 'version'> {
-  /** Waits until a version of the desired state is in force here, for a bounded time. */
+/** Options of {@link answerGrantRequest}. */
+interface GrantAnswerOptions extends Pick<GrantRequesterOptions, 'grantLocally' | 'version'> {
+  /** Waits up to a timeout until a version of the desired state is in force on this host. */
   reach: (version: number, timeoutMs: number) => Promise<unknown>
 }
 
 /**
- * Answers the question of another host.
+ * Answers the grant request of another host.
  *
- * @param body - the question
- * @param options - what this host grants
+ * @param body - the request
+ * @param options - how this host grants operations
  * @returns the answer
  */
-export async function answerLimitQuestion (
-  body: unknown, { grantHere, version, reach }: LimitAnswerOptions
+export async function answerGrantRequest (
+  body: unknown, { grantLocally, version, reach }: GrantAnswerOptions
 ): Promise<z.infer<typeof answerSchema>> {
-  const { organisation, wanted, version: askedBy } = questionSchema.parse(body)
-  await reach(askedBy, REACH_VERSION_MS)
-  const grant = grantHere(organisation, wanted)
-  return { granted: grant?.granted ?? 0, retryAfterMs: grant?.retryAfterMs ?? REACH_VERSION_MS, version: version() }
+  const { organisation, wanted, version: requesterVersion } = requestSchema.parse(body)
+  await reach(requesterVersion, VERSION_WAIT_MS)
+  const grant = grantLocally(organisation, wanted)
+  return { granted: grant?.granted ?? 0, retryAfterMs: grant?.retryAfterMs ?? VERSION_WAIT_MS, version: version() }
 }
--- a/src/entry/limits/organisation-grants.ts
+++ b/src/entry/limits/organisation-grants.ts
@@ -1,90 +1,80 @@
 /**
- * How many operations a host asks for in advance, for how long they may be used, and for how long it refuses without
- * asking again. Owns what this host has of one organisation's limit.
+ * Grants that this host holds for one organisation: how many operations to request, how long grants may be used, and
+ * how long to refuse operations without asking the owner again.
  *
- * Inputs: operations that were begun here and when, operations that wait, answers of the limit's owner (operations
- * granted; time until the next one, in milliseconds).
- * Rule: what waits, and what the recent rate makes likely within {@link PREFETCH_MS}, is asked for together. When less
- * is granted and does not suffice for those that wait, the host refuses for the time that the owner gave, for {@link
- * REFUSED_HERE_MS} at most. Operations that are not used within {@link PREFETCH_MS} lapse.
- * Why: a question for each operation would take a round trip each; a longer prefetch would let one host hold what
- * others need.
+ * A request covers the waiting operations and those that the recent rate predicts for {@link PREFETCH_MS}, which saves
+ * a round trip per operation. Unused grants expire after that time, so that no host withholds them from others.
  */
 import type { Grant } from './token-bucket.ts'
 
-/**
- * Time for which a host asks in advance, in milliseconds, and for which what it was granted may be used. A host with a
- * hundred operations a second of one organisation asks five times a second for it, and one with few asks for each.
- */
+/** Time span covered by a request for grants, and the time for which grants may be used, in milliseconds. */
 const PREFETCH_MS = 200
 /** Half-life of the count of recent operations, in milliseconds. */
 const RATE_HALF_LIFE_MS = 500
 /**
- * Greatest time for which a host refuses an organisation without asking again, in milliseconds. Callers that ask less
- * than before are served again so soon; the hosts of one that asks far too much ask the owner 2.5 times a second each.
- */
-export const REFUSED_HERE_MS = 400
-/**
- * When callers come back after no host could say what a limit leaves, in milliseconds: another host is asked by then.
+ * Longest time for which a host refuses operations without asking the owner again, in milliseconds. It bounds both the
+ * delay until callers are served again and the requests to the owner under overload.
  */
+export const MAX_LOCAL_REFUSAL_MS = 400
+/** Retry time when no owner answered, in milliseconds; by then another host is asked. */
 const NO_ANSWER_RETRY_MS = 300
 
 const SECOND_MS = 1000
 
-/** An answer of the host that owns a limit. */
+/** Answer of the host that owns a limit. */
 export interface GrantAnswer extends Grant {
-  /** Version of the desired state whose limit it is. */
+  /** Version of the desired state that defines the limit. */
   version: number
-  /** Host that owns the limit. */
-  keeper: string
+  /** Name of the host that owns the limit. */
+  owner: string
 }
 
-/** What a host has of one organisation's limit; times on the steady clock, in milliseconds. */
+/** Grants that this host holds for one organisation; times on the monotonic clock, in milliseconds. */
 export interface OrganisationGrants {
-  /** Operations that were granted and not used; negative after repetitions that were counted without a grant. */
+  /** Unused operations; negative after retries that were counted without a grant. */
   left: number
   usableUntil: number
-  /** Operations lately, counting less the longer ago they were, and when that was computed. */
-  recent: number
-  recentAt: number
-  /** Until when operations are refused without asking again. */
+  /** Exponentially decayed number of recent operations, and when it was updated. */
+  recentCount: number
+  recentCountAt: number
+  /** End of the time in which operations are refused without asking the owner. */
   refusedUntil: number
-  /** When callers that are refused are to come back. */
+  /** Time at which refused callers should retry. */
   retryAt: number
-  /** The answer by which operations are refused; undefined when no host answered. */
-  refusedBy?: GrantAnswer
+  /** Last answer of the owner, for the details of a refusal; undefined when no host answered. */
+  lastAnswer?: GrantAnswer
 }
 
 /**
  * Creates the grants of an organisation.
  *
- * @returns no operation yet
+ * @returns grants without any operation
  */
 export function createOrganisationGrants (): OrganisationGrants {
   return {
     left: 0,
     usableUntil: -Infinity,
-    recent: 0,
-    recentAt: performance.now(),
+    recentCount: 0,
+    recentCountAt: performance.now(),
     refusedUntil: -Infinity,
     retryAt: -Infinity
   }
 }
 
-/** Counts an operation that is about to begin, for the rate. */
+/** Counts an operation towards the recent rate. */
 export function countRequest (grants: OrganisationGrants): void {
   const now = performance.now()
-  grants.recent = grants.recent * 0.5 ** ((now - grants.recentAt) / RATE_HALF_LIFE_MS) + 1
-  grants.recentAt = now
+  grants.recentCount = grants.recentCount * 0.5 ** ((now - grants.recentCountAt) / RATE_HALF_LIFE_MS) + 1
+  grants.recentCountAt = now
 }
 
 /**
- * Uses one granted operation.
+ * Takes one granted operation.
  *
  * @param grants - the grants
- * @returns whether there was one
+ * @returns false when none is left or the grants have expired
  */
-export function takeGranted (grants: OrganisationGrants): boolean {
+export function consumeGrant (grants: OrganisationGrants): boolean {
   if (grants.left < 1 || performance.now() > grants.usableUntil) {
     return false
   }
@@ -93,19 +83,19 @@
 }
 
 /** Whether operations are refused without asking the owner. */
-export function isRefusedHere ({ refusedUntil }: OrganisationGrants): boolean {
+export function isRefusedLocally ({ refusedUntil }: OrganisationGrants): boolean {
   return performance.now() < refusedUntil
 }
 
 /**
- * Computes how many operations the owner is asked for.
+ * Computes how many operations to request from the owner.
  *
  * @param grants - the grants
- * @param waiting - operations that wait
- * @returns their number, those that are expected soon included
+ * @param waiting - number of waiting operations
+ * @returns the waiting operations, plus those expected within the next {@link PREFETCH_MS}
  */
-export function countWanted ({ left, recent }: OrganisationGrants, waiting: number): number {
-  const perSecond = recent * Math.LN2 / RATE_HALF_LIFE_MS * SECOND_MS
+export function computeWanted ({ left, recentCount }: OrganisationGrants, waiting: number): number {
+  const perSecond = recentCount * Math.LN2 / RATE_HALF_LIFE_MS * SECOND_MS
   return waiting - Math.min(0, left) + Math.floor(perSecond * PREFETCH_MS / SECOND_MS)
 }
 
@@ -113,8 +103,8 @@
  * Records the answer of the owner.
  *
  * @param grants - the grants
- * @param wanted - operations that it was asked for
- * @param waiting - operations that wait
+ * @param wanted - number of operations that were requested
+ * @param waiting - number of waiting operations
  * @param answer - the answer; undefined when no host answered
  */
 export function recordAnswer (
@@ -125,15 +115,15 @@
   const retryAfterMs = Math.max(1, answer === undefined ? NO_ANSWER_RETRY_MS : answer.retryAfterMs)
   grants.left = (grants.usableUntil >= now || grants.left < 0 ? grants.left : 0) + granted
   grants.usableUntil = now + PREFETCH_MS
-  // With all that was asked for granted, those that came meanwhile are asked for next.
+  // When the request was granted in full, operations that arrived since then are requested next, not refused.
   const isRefused = granted < wanted && grants.left < waiting
-  grants.refusedUntil = isRefused ? now + Math.min(REFUSED_HERE_MS, retryAfterMs) : -Infinity
+  grants.refusedUntil = isRefused ? now + Math.min(MAX_LOCAL_REFUSAL_MS, retryAfterMs) : -Infinity
   grants.retryAt = now + retryAfterMs
-  grants.refusedBy = answer
+  grants.lastAnswer = answer
 }
 
-/** Gives back an operation that was certainly not run. */
-export function giveBackGranted (grants: OrganisationGrants): void {
+/** Refunds an operation that did not run. */
+export function refundGrant (grants: OrganisationGrants): void {
   const now = performance.now()
   grants.left = (now <= grants.usableUntil ? grants.left : 0) + 1
   grants.usableUntil = now + PREFETCH_MS
--- a/src/entry/limits/process-pauses.ts
+++ b/src/entry/limits/process-pauses.ts
@@ -1,42 +1,41 @@
 /**
- * Since when this process has run without a pause: paused itself, by its host, unlike another host that is silent.
- * Other hosts may have owned its limits meanwhile. Rule: a check of the clock that comes more than {@link PAUSED_MS}
- * late shows a pause.
+ * Detects that this process was paused: a periodic check of the clock then runs late. Other hosts may have owned the
+ * limits of this host during the pause.
  */
 import { repeat } from '../../core/time/repeat.ts'
 
-/** Mean time between two checks of the clock, in milliseconds. */
-const CHECK_MS = 500
+/** Mean interval between two checks of the clock, in milliseconds. */
+const CHECK_INTERVAL_MS = 500
 /**
- * Lateness of a check from which the process counts as having been paused, in milliseconds. Other hosts skip a host
- * that has been silent for less (HOME_SILENCE_MS and HOME_ANSWER_MS, together).
+ * Delay of a check from which the process counts as paused, in milliseconds. Other hosts suspect a silent host earlier,
+ * after PROBE_AFTER_IDLE_MS and SUSPECT_AFTER_MS of homes/home-watch.ts.
  */
-const PAUSED_MS = 500
+const PAUSE_THRESHOLD_MS = 500
 
-/** Watches this process. */
+/** Detects pauses of this process. */
 export interface ProcessPauseWatch {
-  /** When it last went on after a pause, or when the watch began, on the steady clock. */
+  /** End of the last pause, or the start of the watch, on the monotonic clock, in milliseconds. */
   readonly runningSince: number
   close: () => void
 }
 
 /**
- * Begins to watch this process.
+ * Starts to watch this process.
  *
  * @returns the watch
  */
 export function watchProcessPauses (): ProcessPauseWatch {
   let runningSince = performance.now()
   let checkedAt = runningSince
-  /** Also called where a decision depends on it, since a thawed process may get to other work before its timers. */
+  /** Also called when the result is read, since a resumed process may run other work before its timers. */
   const checkClock = (): void => {
     const now = performance.now()
-    if (now - checkedAt > CHECK_MS + PAUSED_MS) {
+    if (now - checkedAt > CHECK_INTERVAL_MS + PAUSE_THRESHOLD_MS) {
       runningSince = now
     }
     checkedAt = now
   }
-  const close = repeat(CHECK_MS, async () => checkClock())
+  const close = repeat(CHECK_INTERVAL_MS, async () => checkClock())
   return {
     get runningSince () {
       checkClock()
--- a/src/entry/limits/recent-requesters.ts
+++ b/src/entry/limits/recent-requesters.ts
@@ -1,60 +1,57 @@
 /**
- * Which hosts are asked whether they are alive because they have gone silent as requesters: silent towards this host as
- * the owner of limits, unlike a home that is silent when it is asked (homes/home-watch.ts).
+ * Tracks which hosts have recently requested grants from this host as the owner of limits.
  *
- * Inputs: when each host last requested operations here, in milliseconds. Rule: when this host refuses, hosts that
- * requested before and not within {@link SILENT_REQUESTERS} are checked. Why: they may be out of touch and request from
- * a deputy, so that both together grant too much.
+ * When this host refuses operations, it probes the hosts that used to send requests but have stopped: they may be
+ * partitioned and obtain grants from a fallback owner, so that both owners together would grant too much.
  */
 import type { KnownHost } from '../registry/index.ts'
 
 /**
- * Time after which a host that has requested operations counts as silent, for which it is remembered, and the least
- * pause between two rounds of checks, in milliseconds. Hosts of an organisation that is refused ask again within half a
- * second.
+ * Times in milliseconds: without a request until a host counts as silent, until it is no longer probed, and between two
+ * rounds of probes. `afterMs` exceeds the interval at which hosts retry refused requests (`MAX_LOCAL_REFUSAL_MS`).
  */
-const SILENT_REQUESTERS = { afterMs: 700, rememberedMs: 10_000, pauseMs: 500 } as const
+const SILENT_REQUESTERS = { afterMs: 700, forgottenAfterMs: 10_000, minIntervalMs: 500 } as const
 
 /** Options of {@link createRecentRequesters}. */
 interface RecentRequestersOptions {
-  /** Asks a host whether it is alive. */
-  check: (host: KnownHost) => void
+  /** Checks whether a host is alive. */
+  probe: (host: KnownHost) => void
 }
 
-/** Hosts that request operations here. */
+/** Tracks the hosts that request grants from this host. */
 interface RecentRequesters {
-  /** Records that a host has requested operations. */
+  /** Records a request from a host. */
   record: (host: string) => void
-  /** Whether a host has requested lately. */
+  /** Whether a host has sent a request recently. */
   isRecent: (host: string) => boolean
-  /** Has those checked that have requested before and not lately. */
-  checkSilent: (hosts: KnownHost[]) => void
+  /** Probes the hosts that have sent requests before but not recently. */
+  probeSilent: (hosts: KnownHost[]) => void
 }
 
 /**
- * Creates the record; no host has requested anything yet.
+ * Creates an empty record of requesters.
  *
- * @param options - asks whether hosts are alive
+ * @param options - how hosts are probed
  * @returns the record
  */
-export function createRecentRequesters ({ check }: RecentRequestersOptions): RecentRequesters {
+export function createRecentRequesters ({ probe }: RecentRequestersOptions): RecentRequesters {
   const requestedAt = new Map<string, number>()
-  let checkedAt = -Infinity
+  let probedAt = -Infinity
 
   const silenceOf = (host: string): number => performance.now() - (requestedAt.get(host) ?? -Infinity)
   return {
     record: (host) => { requestedAt.set(host, performance.now()) },
     isRecent: (host) => silenceOf(host) <= SILENT_REQUESTERS.afterMs,
-    checkSilent: (hosts) => {
+    probeSilent: (hosts) => {
       const now = performance.now()
-      if (now - checkedAt < SILENT_REQUESTERS.pauseMs) {
+      if (now - probedAt < SILENT_REQUESTERS.minIntervalMs) {
         return
       }
-      checkedAt = now
+      probedAt = now
       hosts
         .filter(({ name }) => silenceOf(name) > SILENT_REQUESTERS.afterMs)
-        .filter(({ name }) => silenceOf(name) <= SILENT_REQUESTERS.rememberedMs)
-        .forEach(check)
+        .filter(({ name }) => silenceOf(name) <= SILENT_REQUESTERS.forgottenAfterMs)
+        .forEach(probe)
     }
   }
 }
--- a/src/entry/limits/seen-part.ts
+++ b/src/entry/limits/seen-part.ts
@@ -1,27 +1,24 @@
 /**
- * Which part of all hosts this host can see: its share of a limit while another may own the limit for the rest.
- *
- * Inputs: what is known of each other host, by answers to this host and by requests from it. Rule: this host and those
- * that answer, or have requested lately, against those and the silent ones; hosts of which nothing is known don't
- * count.
+ * Computes the fraction of all hosts that this host can reach, which is its share of a limit during a partition. This
+ * host counts, and so do hosts that answer or have recently sent requests; hosts in unknown state are left out.
  */
 
-/** What is known of one other host. */
-interface HostSight {
+/** Status of another host. */
+interface HostStatus {
   reachability: 'answers' | 'silent' | 'unknown'
-  /** Whether it has requested operations lately. */
+  /** Whether it has requested grants from this host recently. */
   isRecentRequester: boolean
 }
 
 /**
- * Computes the part.
+ * Computes the fraction.
  *
- * @param others - what is known of each other host
- * @returns the part, above 0 and up to 1
+ * @param others - status of each other host
+ * @returns the fraction, above 0 and up to 1
  */
-export function seenPartOf (others: readonly HostSight[]): number {
+export function reachableShareOf (others: readonly HostStatus[]): number {
   const silent = others.filter(({ reachability }) => reachability === 'silent').length
-  const seen = others.filter(({ reachability, isRecentRequester }) =>
+  const reachable = others.filter(({ reachability, isRecentRequester }) =>
     reachability === 'answers' || isRecentRequester).length
-  return (1 + seen) / (1 + seen + silent)
+  return (1 + reachable) / (1 + reachable + silent)
 }
--- a/test/entry/limits/limit-owner.test.ts
+++ b/test/entry/limits/limit-owner.test.ts
@@ -4,14 +4,14 @@
 import { bucketParametersOf } from '../../../src/entry/limits/bucket-parameters.ts'
 import { grantedByOrganisation } from '../../../src/entry/limits/granted-metric.ts'
 import { createLimitOwner, type LimitOwner } from '../../../src/entry/limits/limit-owner.ts'
-import { seenPartOf } from '../../../src/entry/limits/seen-part.ts'
+import { reachableShareOf } from '../../../src/entry/limits/seen-part.ts'
 import type { Organisation } from '../../../src/entry/ports/index.ts'
 
 const LIMIT = { perSecond: 20, burst: 40 }
 const COUNTING = { windowSeconds: 5, tolerance: { part: 0.1, operations: 20 } }
-const { depth, first, perSecond } = bucketParametersOf(LIMIT, COUNTING)
+const { depth, initial, perSecond } = bucketParametersOf(LIMIT, COUNTING)
 
-describe('the owner of limits', () => {
+describe('createLimitOwner', () => {
   let clock: Clock
   let owner: LimitOwner
   beforeEach(() => {
@@ -21,45 +21,45 @@
       ['red', { name: 'red', limit: LIMIT }], ['free', { name: 'free' }]
     ])
     owner = createLimitOwner({
-      desiredState: () => ({ organisations }), counting: () => COUNTING, seenPart: () => 1
+      desiredState: () => ({ organisations }), counting: () => COUNTING, reachableShare: () => 1
     })
   })
   afterEach(() => { clock.uninstall() })
 
-  it('grants the whole depth when it has come first for a whole window', () => {
+  it('grants the whole depth when it has been the owner for a whole window', () => {
     expect(owner.grant('red', 100, { isFirst: true, exclusiveSince: 0 })?.granted).toEqual(Math.floor(depth))
   })
 
-  it('begins small, with a quarter of the rate, when it has just become the first, and as a deputy', () => {
+  it('grants few operations at first and then a quarter of the rate, as a new owner and as a fallback owner', () => {
     for (const isFirst of [true, false]) {
       const exclusiveSince = performance.now()
-      expect(owner.grant('red', 100, { isFirst, exclusiveSince })?.granted).toEqual(Math.min(first, Math.floor(depth / 4)))
+      expect(owner.grant('red', 100, { isFirst, exclusiveSince })?.granted).toEqual(Math.min(initial, Math.floor(depth / 4)))
       clock.tick(1000)
       expect(owner.grant('red', 100, { isFirst, exclusiveSince })?.granted).toEqual(Math.floor(perSecond / 4))
       clock.tick(5000)
     }
   })
 
-  it('grants everything where there is no limit, and nothing to an organisation that it does not know', () => {
+  it('grants everything when there is no limit, and nothing to an unknown organisation', () => {
     const ownership = { isFirst: true, exclusiveSince: 0 }
     expect(owner.grant('free', 7, ownership)).toEqual({ granted: 7, retryAfterMs: 0 })
     expect(owner.grant('unknown', 7, ownership)).toEqual(undefined)
   })
 })
 
-describe('the part of all hosts that a host sees', () => {
-  it('counts itself, those that answer or have requested lately, and silent ones, but none that it does not know', () => {
+describe('reachableShareOf', () => {
+  it('counts this host, hosts that answer or have sent requests recently, and silent hosts, but no unknown ones', () => {
     const host = (reachability: 'answers' | 'silent' | 'unknown', isRecentRequester = false) =>
       ({ reachability, isRecentRequester })
-    expect(seenPartOf([])).toEqual(1)
-    expect(seenPartOf([host('unknown'), host('unknown')])).toEqual(1)
-    expect(seenPartOf([host('answers'), host('silent'), host('silent')])).toEqual(0.5)
-    expect(seenPartOf([host('unknown', true), host('silent'), host('silent')])).toEqual(0.5)
+    expect(reachableShareOf([])).toEqual(1)
+    expect(reachableShareOf([host('unknown'), host('unknown')])).toEqual(1)
+    expect(reachableShareOf([host('answers'), host('silent'), host('silent')])).toEqual(0.5)
+    expect(reachableShareOf([host('unknown', true), host('silent'), host('silent')])).toEqual(0.5)
   })
 })
 
-describe('the metric of granted operations', () => {
-  it('names the ten organisations that were granted most, and sums up the others', () => {
+describe('grantedByOrganisation', () => {
+  it('lists the ten organisations with the most grants, and the sum of the others', () => {
     const owned = new Map(Array.from({ length: 12 }, (_, index) =>
       [`o${index}`, { left: 0, granted: index + 1, refused: 0 }] as const))
     const granted = grantedByOrganisation(owned)
--- a/test/entry/limits/token-bucket.test.ts
+++ b/test/entry/limits/token-bucket.test.ts
@@ -15,19 +15,19 @@
 )
 const DEPTH = Math.floor(PARAMETERS.depth)
 
-/** Greatest number of grants in any window, the times in rising order. */
+/** Greatest number of grants in any window; `times` in ascending order. */
 function mostInWindow (times: number[]): number {
   return Math.max(0, ...times.map((from) => times.filter((time) => time >= from && time < from + WINDOW_MS).length))
 }
 
-describe('the token bucket of an organisation', () => {
+describe('createTokenBucket', () => {
   let clock: Clock
   beforeEach(() => { clock = fakeTimers.install() })
   afterEach(() => { clock.uninstall() })
 
-  it('begins small, fills with the rate up to the burst, and says when to come back', () => {
+  it('starts with few tokens, fills at its rate up to its depth, and returns the time to retry', () => {
     const bucket = createTokenBucket(false)
-    expect(bucket.grant(50, PARAMETERS, 1).granted).toEqual(PARAMETERS.first)
+    expect(bucket.grant(50, PARAMETERS, 1).granted).toEqual(PARAMETERS.initial)
     clock.tick(2000)
     for (let turn = 0; turn < 40; turn++) {
       clock.tick(100)
@@ -41,25 +41,25 @@
     expect(bucket.grant(1, PARAMETERS, 1).granted).toEqual(1)
   })
 
-  it('tells those that it refuses to come back one after the other', () => {
+  it('gives refused requests consecutive retry times', () => {
     const bucket = createTokenBucket(false)
-    bucket.grant(PARAMETERS.first, PARAMETERS, 1)
+    bucket.grant(PARAMETERS.initial, PARAMETERS, 1)
     const times = [1, 2, 3].map(() => bucket.grant(1, PARAMETERS, 1).retryAfterMs)
     expect(times[1]! > times[0]! && times[2]! > times[1]!).toEqual(true)
   })
 
-  it('grants its whole depth at once where nothing can have been granted lately', () => {
+  it('grants its whole depth at once when it starts full', () => {
     expect(createTokenBucket(true).grant(100, PARAMETERS, 1).granted).toEqual(DEPTH)
   })
 
-  it('grants a part of its pace and of its depth to a host that sees a part of the others', () => {
+  it('grants the given share of its rate and of its depth', () => {
     const bucket = createTokenBucket(true)
     expect(bucket.grant(100, PARAMETERS, 0.5).granted).toEqual(Math.floor(PARAMETERS.depth / 2))
     clock.tick(1000)
     expect(bucket.grant(100, PARAMETERS, 0.5).granted).toEqual(Math.floor(PARAMETERS.perSecond / 2))
   })
 
-  it('falls at once when its limit falls', () => {
+  it('applies a lower limit immediately', () => {
     const bucket = createTokenBucket(false)
     for (let turn = 0; turn < 60; turn++) {
       clock.tick(100)
@@ -68,15 +68,15 @@
     expect(bucket.grant(100, LOWERED, 1).granted).toEqual(2)
   })
 
-  it('grants the limit and a part of the tolerance in every window, whatever is asked for and when', () => {
-    const ask = fastCheck.record({
+  it('grants at most the limit and a part of the tolerance in any window of random requests', () => {
+    const request = fastCheck.record({
       afterMs: fastCheck.integer({ min: 0, max: 1500 }), wanted: fastCheck.integer({ min: 1, max: 60 })
     })
-    const asks = fastCheck.array(ask, { minLength: 1, maxLength: 120 })
-    fastCheck.assert(fastCheck.property(asks, (asked) => {
+    const requests = fastCheck.array(request, { minLength: 1, maxLength: 120 })
+    fastCheck.assert(fastCheck.property(requests, (sequence) => {
       const bucket = createTokenBucket(false)
       const times: number[] = []
-      for (const { afterMs, wanted } of asked) {
+      for (const { afterMs, wanted } of sequence) {
         clock.tick(afterMs)
         const { granted } = bucket.grant(wanted, PARAMETERS, 1)
         times.push(...Array.from({ length: granted }, () => performance.now()))
--- a/test/entry/process/organisations.test.ts
+++ b/test/entry/process/organisations.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { REFUSED_HERE_MS } from '../../../src/entry/limits/organisation-grants.ts'
+import { MAX_LOCAL_REFUSAL_MS } from '../../../src/entry/limits/organisation-grants.ts'
 import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
 import type { FakeOrganisation, FakeRoute } from '../../fixtures/fleet/world.ts'
 import { seedRandom } from '../../fixtures/seed-random.ts'
@@ -23,7 +23,7 @@
   const organisationOf = (id: string): string | undefined =>
     suite.world.upstreams.runs.find(({ requestId }) => requestId === id)?.organisation
 
-  it('have their statements run on connections of their own organisation', async () => {
+  it('run their statements on connections of their own organisation', async () => {
     await configure([RED, BLUE])
     for (let turn = 0; turn < 30; turn++) {
       const host = HOSTS[turn % HOSTS.length]!
@@ -37,7 +37,7 @@
     }
   })
 
-  it('keep transactions to their organisation', async () => {
+  it('run each transaction on a connection of their organisation', async () => {
     await configure([RED, BLUE])
     const red = suite.world.connect('h1', 'money', 'red-1')
     await settle(red.send({ type: 'begin', readOnly: false }), 20)
@@ -48,7 +48,7 @@
     expect([first, blue, second].map(({ id }) => organisationOf(id))).toEqual(['red', 'blue', 'red'])
   })
 
-  it('are refused with a key that nobody holds, and served as soon as somebody does', async () => {
+  it('are refused with an unknown key, and served once an organisation holds it', async () => {
     await configure([RED])
     const caller = suite.world.connect('h2', 'money', 'blue-1')
     expect((await settle(caller.read(), 50)).failure?.kind).toEqual('unknown-key')
@@ -57,7 +57,7 @@
     expect([served.failure, organisationOf(served.id)]).toEqual([undefined, 'blue'])
   })
 
-  it('are refused once their key has been taken away, also in an open transaction, which is rolled back', async () => {
+  it('are refused after their key is removed, also in an open transaction, which is rolled back', async () => {
     await configure([RED, BLUE])
     const caller = suite.world.connect('h3', 'money', 'red-1')
     await settle(caller.send({ type: 'begin', readOnly: false }), 20)
@@ -71,7 +71,7 @@
     expect((await settle(suite.world.connect('h3', 'money', 'red-2').read(), 100)).failure).toEqual(undefined)
   })
 
-  it('follow a key that passes from one organisation to another', async () => {
+  it('run for the new organisation when their key moves to it', async () => {
     await configure([RED, BLUE])
     const caller = suite.world.connect('h4', 'money', 'red-1')
     const first = await settle(caller.read(), 100)
@@ -80,7 +80,7 @@
     expect([first, second].map(({ id }) => organisationOf(id))).toEqual(['red', 'blue'])
   })
 
-  it('have a transaction rolled back that began before their key passed to another organisation', async () => {
+  it('get an open transaction rolled back when their key moves to another organisation', async () => {
     await configure([RED, BLUE])
     const caller = suite.world.connect('h5', 'money', 'red-1')
     await settle(caller.send({ type: 'begin', readOnly: false }), 20)
@@ -93,7 +93,7 @@
     expect(organisationOf((await settle(caller.read(), 100)).id)).toEqual('blue')
   })
 
-  it('are all served where there are more organisations than an upstream takes connections', async () => {
+  it('are all served when there are more organisations than connections to an upstream', async () => {
     suite.world.cap = 6
     suite.world.upstreams.all.forEach((upstream) => { upstream.maximumConnections = 6 })
     const many = Array.from({ length: 20 }, (_, index) => ({ name: `o${index}`, keys: [`k${index}`] }))
@@ -105,20 +105,20 @@
   })
 })
 
-describe('many organisations with few connections', () => {
+describe('many organisations that share few connections', () => {
   let restoreRandom = (): void => {}
   beforeEach(() => { restoreRandom = seedRandom(24) })
   afterEach(() => restoreRandom())
   const suite = setUpWorld(HOSTS, ROUTES)
 
-  it('find the connections that they have opened before', async () => {
+  it('reuse the connections that they have opened', async () => {
     const many = Array.from({ length: 30 }, (_, index) => ({ name: `o${index}`, keys: [`k${index}`] }))
     suite.world.configure(ROUTES, many)
     await suite.clock.tickAsync(1000)
     const before = suite.world.upstreams.opened
     const answers: Array<Promise<{ failure?: unknown }>> = []
     for (let turn = 0; turn < 600; turn++) {
-      // A few organisations ask for most: the square of an even draw.
+      // Squaring a uniform value skews the load towards a few organisations.
       const key = `k${Math.floor(Math.random() ** 2 * 30)}`
       const database = Math.random() < 0.3 ? 'money' : 'view'
       answers.push(suite.world.connect(HOSTS[turn % HOSTS.length]!, database, key).read())
@@ -128,7 +128,7 @@
     const failed = (await Promise.all(answers)).filter(({ failure }) => failure !== undefined).length
     const opened = suite.world.upstreams.opened - before
     expect(failed).toEqual(0)
-    // 363 with any home for any organisation, 276 where each prefers one of an upstream.
+    // More are opened when organisations do not prefer one home per upstream.
     expect(opened <= 300).toEqual(true)
   })
 })
@@ -140,12 +140,12 @@
   const suite = setUpWorld(HOSTS, ROUTES)
   const limit = { perSecond: 20, burst: 20 }
   const windowMs = 5000
-  /** The limit in a window, and the tolerance of the settings. */
-  const most = (limit.perSecond * windowMs / 1000 + limit.burst) * 1.1 + 20
+  /** Greatest number of operations in a window: the limit and the tolerance of the settings. */
+  const maxInWindow = (limit.perSecond * windowMs / 1000 + limit.burst) * 1.1 + 20
 
   const sentAtById = new Map<string, number>()
-  /** Plays reads of one organisation on all hosts. */
-  const play = async (perSecond: number, forMs: number): Promise<Array<{ kind?: string, message?: string }>> => {
+  /** Sends reads of one organisation through all running hosts; returns their outcomes. */
+  const sendReads = async (perSecond: number, forMs: number): Promise<Array<{ kind?: string, message?: string }>> => {
     const outcomes: Array<{ kind?: string, message?: string }> = []
     const pauseMs = 1000 / perSecond
     for (let sent = 0; sent * pauseMs < forMs; sent++) {
@@ -161,8 +161,8 @@
     await suite.clock.tickAsync(1000)
     return outcomes
   }
-  /** Greatest number of operations that were both sent and run within one window. */
-  const mostRunInWindow = (): number => {
+  /** Computes the greatest number of operations that were both sent and run within one window. */
+  const countMostRunInWindow = (): number => {
     const runs = suite.world.upstreams.runs.map(({ requestId, at }) =>
       ({ sentAt: sentAtById.get(requestId) ?? at, at }))
     const countFrom = (from: number): number =>
@@ -174,55 +174,55 @@
     await suite.clock.tickAsync(1000)
   }
 
-  it('refuses nobody who stays below it', async () => {
+  it('refuses no operation of callers who stay below it', async () => {
     await configure()
-    // A host that has just started cannot know what was granted before.
+    // Waits until the buckets of the hosts, which have just started, may start full.
     await suite.clock.tickAsync(windowMs)
-    const outcomes = await play(12, 8000)
+    const outcomes = await sendReads(12, 8000)
     expect(outcomes.filter(({ kind }) => kind !== undefined)).toEqual([])
   })
 
-  it('holds in every window when five times as much is asked for, and what is left of it is used', async () => {
+  it('holds in every window under five times the load, and is used up', async () => {
     await configure()
-    const outcomes = await play(100, 10_000)
-    expect(mostRunInWindow() <= most).toEqual(true)
+    const outcomes = await sendReads(100, 10_000)
+    expect(countMostRunInWindow() <= maxInWindow).toEqual(true)
     const served = outcomes.filter(({ kind }) => kind === undefined).length
     expect(served >= limit.perSecond * 9).toEqual(true)
     const refused = outcomes.filter(({ kind }) => kind === 'busy')
     expect(refused.length + served).toEqual(outcomes.length)
-    const says = /reached its limit of 20 operations a second and 20 at a time \(version \d+, kept by h\d\); retry/
-    expect(refused.every(({ message }) => says.test(message!))).toEqual(true)
+    const pattern = /reached its limit of 20 operations a second and 20 at a time \(version \d+, kept by h\d\); retry/
+    expect(refused.every(({ message }) => pattern.test(message!))).toEqual(true)
   })
 
-  it('slows nobody of other organisations', async () => {
+  it('does not affect other organisations', async () => {
     await configure()
-    const flood = play(100, 3000)
+    const overload = sendReads(100, 3000)
     const caller = suite.world.connect('h1', 'view', 'blue-1')
     const answers = []
     for (let turn = 0; turn < 10; turn++) {
       answers.push(await caller.read())
     }
-    await flood
+    await overload
     expect(answers.filter(({ failure }) => failure !== undefined)).toEqual([])
   })
 
-  it('holds when the host that keeps it falls silent, and callers below it are served again', async () => {
+  it('holds when its owner becomes silent, and callers below it are served again', async () => {
     await configure()
-    await play(100, 3000)
-    const keeper = /kept by (h\d)/.exec((await play(100, 500)).find(({ kind }) => kind === 'busy')!.message!)![1]!
-    suite.world.silent.add(keeper)
-    await play(100, 4000)
-    suite.world.silent.delete(keeper)
-    await play(100, 4000)
-    expect(mostRunInWindow() <= most).toEqual(true)
-    await suite.clock.tickAsync(REFUSED_HERE_MS)
-    const outcomes = await play(12, 4000)
+    await sendReads(100, 3000)
+    const owner = /kept by (h\d)/.exec((await sendReads(100, 500)).find(({ kind }) => kind === 'busy')!.message!)![1]!
+    suite.world.silent.add(owner)
+    await sendReads(100, 4000)
+    suite.world.silent.delete(owner)
+    await sendReads(100, 4000)
+    expect(countMostRunInWindow() <= maxInWindow).toEqual(true)
+    await suite.clock.tickAsync(MAX_LOCAL_REFUSAL_MS)
+    const outcomes = await sendReads(12, 4000)
     expect(outcomes.filter(({ kind }) => kind !== undefined)).toEqual([])
   })
 
-  it('is not given twice when all hosts restart', async () => {
+  it('is not granted twice when all hosts restart', async () => {
     await configure()
-    await play(100, 6000)
+    await sendReads(100, 6000)
     for (const name of HOSTS) {
       await suite.world.kill(name)
     }
@@ -230,41 +230,41 @@
       await suite.world.startHost(name)
     }
     await suite.clock.tickAsync(1000)
-    await play(100, 6000)
-    expect(mostRunInWindow() <= most).toEqual(true)
+    await sendReads(100, 6000)
+    expect(countMostRunInWindow() <= maxInWindow).toEqual(true)
   })
 
-  it('holds when hosts are cut in two', async () => {
+  it('holds when a partition separates the hosts', async () => {
     await configure()
-    await play(100, 3000)
+    await sendReads(100, 3000)
     HOSTS.slice(0, 4).forEach((name) => suite.world.beyondCut.add(name))
-    await play(100, 6000)
+    await sendReads(100, 6000)
     suite.world.beyondCut.clear()
-    await play(100, 5000)
-    expect(mostRunInWindow() <= most).toEqual(true)
+    await sendReads(100, 5000)
+    expect(countMostRunInWindow() <= maxInWindow).toEqual(true)
   })
 
-  it('is found broken when a question that is not answered counts as granted', async () => {
+  it('is exceeded when an unanswered request counts as granted', async () => {
     suite.world.unansweredCountsAsGranted = true
     await configure()
-    await play(100, 3000)
+    await sendReads(100, 3000)
     HOSTS.slice(0, 4).forEach((name) => suite.world.beyondCut.add(name))
-    await play(100, 6000)
-    expect(mostRunInWindow() > most).toEqual(true)
+    await sendReads(100, 6000)
+    expect(countMostRunInWindow() > maxInWindow).toEqual(true)
   })
 
   for (const seed of [1, 2, 3, 4, 5, 6]) {
-    it(`holds in a random schedule of floods, cuts, silence and restarts (seed ${seed})`, async () => {
+    it(`holds in a random schedule of overload, partitions, silent hosts and restarts (seed ${seed})`, async () => {
       restoreRandom()
       restoreRandom = seedRandom(seed)
-      const some = (): string[] => HOSTS.filter(() => Math.random() < 0.35)
-      const troubles: Array<() => Promise<void>> = [
-        async () => { some().forEach((name) => suite.world.beyondCut.add(name)) },
+      const randomHosts = (): string[] => HOSTS.filter(() => Math.random() < 0.35)
+      const faults: Array<() => Promise<void>> = [
+        async () => { randomHosts().forEach((name) => suite.world.beyondCut.add(name)) },
         async () => { suite.world.beyondCut.clear() },
-        async () => { some().slice(0, 2).forEach((name) => suite.world.silent.add(name)) },
+        async () => { randomHosts().slice(0, 2).forEach((name) => suite.world.silent.add(name)) },
         async () => { suite.world.silent.clear() },
         async () => {
-          const [name] = some()
+          const [name] = randomHosts()
           if (name !== undefined) {
             await suite.world.kill(name)
             await suite.world.startHost(name)
@@ -274,10 +274,10 @@
       ]
       await configure()
       for (let turn = 0; turn < 8; turn++) {
-        await troubles[Math.floor(Math.random() * troubles.length)]!()
-        await play(20 + Math.floor(Math.random() * 120), 500 + Math.random() * 1500)
+        await faults[Math.floor(Math.random() * faults.length)]!()
+        await sendReads(20 + Math.floor(Math.random() * 120), 500 + Math.random() * 1500)
       }
-      expect(mostRunInWindow() <= most).toEqual(true)
+      expect(countMostRunInWindow() <= maxInWindow).toEqual(true)
     })
   }
 })
