--- a/src/placement/group-homes.ts
+++ b/src/placement/group-homes.ts
@@ -1,12 +1,9 @@
 /**
- * Which processes serve a group.
- *
- * Inputs: the group, the candidates with their failure domains, how many are wanted. Rule: rendezvous hashing; the best
- * candidate of each failure domain first, then the best of the others. Why: the loss of a failure domain leaves the
- * group its other processes, and the loss of a candidate moves only the groups it had.
+ * Chooses the processes that serve a group by rendezvous hashing: the best candidate of each failure domain first, then
+ * the best of the rest. Losing a failure domain leaves the group its other processes.
  */
 import xxhash from 'xxhash-wasm'
-import { byScore, pairOf, type ScoredHost } from './rendezvous.ts'
+import { byScore, hashInputOf, type ScoredHost } from './rendezvous.ts'
 
 const { h64 } = await xxhash()
 
@@ -17,23 +14,23 @@
 }
 
 /**
- * Scores a host for a group; the highest scores serve it.
+ * Computes the score of a host for a group.
  *
  * @param group - name of the group
  * @param host - name of the host
  * @returns the score
  */
 export function scoreOf (group: string, host: string): bigint {
-  return h64(pairOf(group, host))
+  return h64(hashInputOf(group, host))
 }
 
 /**
- * Chooses candidates for a group. Every process that knows the same candidates finds the same ones in the same order.
+ * Chooses the processes that serve a group. The result depends only on the arguments, not on the order of candidates.
  *
  * @param group - name of the group
  * @param candidates - the candidates
- * @param count - how many to choose
- * @returns the chosen ones, best first
+ * @param count - number of processes to choose
+ * @returns the chosen candidates in order of preference
  */
 export function placeGroup<Member extends Candidate> (group: string, candidates: Member[], count: number): Member[] {
   const scored = candidates.map((member) => ({ host: member, score: scoreOf(group, member.host) }))
--- a/src/placement/rendezvous.ts
+++ b/src/placement/rendezvous.ts
@@ -1,34 +1,34 @@
 /**
- * Rendezvous hashing: each host has a score for a subject, and the highest scores win. Processes that know the same
- * hosts find the same order without a message, and the loss of a host moves only what it had.
+ * Rendezvous hashing: each host has a score for a key, and the hosts with the highest scores are chosen. Processes that
+ * know the same hosts choose the same ones without communication, and losing a host only moves what it was chosen for.
  */
 
-/** A score; only compared with scores of the same hash. */
+/** Score of a host. Only scores of the same hash function are comparable. */
 export type Score = string | bigint
 
-/** A host and its score for a subject. */
+/** A host with its score for a key. */
 export interface ScoredHost<Host, Value extends Score> {
   host: Host
   score: Value
 }
 
 /**
- * Joins subject and host into the text that is hashed. Part of what hosts agree on: another text moves every home.
+ * Builds the hash input for a key and a host. All hosts must build the same input: a change moves every home.
  *
- * @param subject - what the host is scored for
+ * @param key - what the host is scored for, such as the name of an upstream
  * @param host - name of the host
- * @returns the text
+ * @returns the hash input
  */
-export function pairOf (subject: string, host: string): string {
-  return `${subject}\0${host}`
+export function hashInputOf (key: string, host: string): string {
+  return `${key}\0${host}`
 }
 
 /**
- * Compares scored hosts, the highest score first.
+ * Compares scored hosts for sorting, highest score first.
  *
  * @param left - one host
- * @param right - another one
- * @returns as a sort wants it
+ * @param right - another host
+ * @returns a negative number, zero or a positive number, as for `Array.sort`
  */
 export function byScore<Value extends Score> (
   left: ScoredHost<unknown, Value>, right: ScoredHost<unknown, Value>
--- a/test/placement/group-homes.test.ts
+++ b/test/placement/group-homes.test.ts
@@ -8,7 +8,7 @@
 const GROUPS = Array.from({ length: 40 }, (_value, index) => `group-${index}`)
 
 describe('placeGroup', () => {
-  it('chooses from different failure domains while there are enough', () => {
+  it('chooses from different failure domains when there are enough', () => {
     const candidates = Array.from({ length: 20 }, (_value, index) => createCandidate(index))
     GROUPS.forEach((group) => {
       const domains = placeGroup(group, candidates, 3).map(({ failureDomain }) => failureDomain)
@@ -16,14 +16,14 @@
     })
   })
 
-  it('fills up from the same domain when there are too few', () => {
+  it('chooses several candidates of one failure domain when there are too few', () => {
     const candidates = [0, 4, 8].map(createCandidate)
     expect(placeGroup('group', candidates, 3).length).toEqual(3)
   })
 })
 
 describe('createPlacementCache', () => {
-  it('always agrees with a placement made anew, whoever comes and goes', () => {
+  it('agrees with placeGroup after any sequence of membership changes', () => {
     const members = fc.uniqueArray(fc.integer({ min: 0, max: 15 }), { minLength: 1 })
     const sets = fc.array(members, { minLength: 2, maxLength: 8 })
     fc.assert(fc.property(sets, (steps) => {
