--- a/src/entry/requests/reads.ts
+++ b/src/entry/requests/reads.ts
@@ -167,7 +167,7 @@
   { budget, logger }: Pick<EntryContext, 'budget' | 'logger'>, { requestId, group, attempts, home }: RequestScope,
   upstream: string, cause: RetryCause
 ): boolean {
-  if (budget.spend()) {
+  if (budget.tryWithdraw()) {
     return true
   }
   logger.log('warn', 'retry.refused', {
--- a/src/entry/requests/session.ts
+++ b/src/entry/requests/session.ts
@@ -129,7 +129,7 @@
     idleSince = performance.now()
     if (isServed(answer)) {
       // Counted on the caller's host, which takes the retries: a home repeats nothing for the hosts that ask it.
-      context.budget.earn()
+      context.budget.deposit()
     }
     if (answer.state === 'failed') {
       transaction.failureReported()
--- a/src/mysql-proxy/routing/group-home.ts
+++ b/src/mysql-proxy/routing/group-home.ts
@@ -74,7 +74,7 @@
   const transactions = createTransactions({ view, pools, greatestMs: () => state.group.limits.transactionMs })
   const sweeper = startLedgerSweeper({ view, pools, group })
   const spendRetry = (): boolean => {
-    const isGranted = budget.spend()
+    const isGranted = budget.tryWithdraw()
     counts.retries += isGranted ? 1 : 0
     if (!isGranted) {
       logger.log('warn', 'retry.refused', { group: name, balance: budget.balance.toFixed(1) })
--- a/src/mysql-proxy/routing/request-counter.ts
+++ b/src/mysql-proxy/routing/request-counter.ts
@@ -21,7 +21,7 @@
 /** Options of {@link createRequestCounter}. */
 interface RequestCounterOptions {
   handle: (request: HomeRequest) => Promise<HomeReply>
-  budget: Pick<RetryBudget, 'earn'>
+  budget: Pick<RetryBudget, 'deposit'>
   counts: Pick<GroupCounts, 'refused'>
 }
 
@@ -52,7 +52,7 @@
       try {
         const reply = await handle(request)
         if (REFILLS_BUDGET[request.type]) {
-          budget.earn()
+          budget.deposit()
         }
         return reply
       } catch (thrown) {
--- a/src/retries/retry-budget.ts
+++ b/src/retries/retry-budget.ts
@@ -15,13 +15,13 @@
 /** A balance of retries. */
 export interface RetryBudget {
   /** Counts a statement that was served. Whoever takes retries for a statement counts it, and nobody else does. */
-  earn: () => void
+  deposit: () => void
   /**
    * Takes a retry from the balance.
    *
    * @returns whether there was one
    */
-  spend: () => boolean
+  tryWithdraw: () => boolean
   /** Retries that are left; a part of one is not enough for the next. */
   readonly balance: number
 }
@@ -36,8 +36,8 @@
   /** Served statements that no retry has used up. */
   let served = greatestServed
   return {
-    earn: () => { served = Math.min(greatestServed, served + 1) },
-    spend: () => {
+    deposit: () => { served = Math.min(greatestServed, served + 1) },
+    tryWithdraw: () => {
       if (served < SERVED_PER_RETRY) {
         return false
       }
--- a/test/mysql-proxy/routing/request-counter.test.ts
+++ b/test/mysql-proxy/routing/request-counter.test.ts
@@ -44,7 +44,7 @@
       if (seen.requests % SERVED_ONE_IN === 0) {
         return { answer: EMPTY_ANSWER }
       }
-      seen.retries += budget.spend() ? 1 : 0
+      seen.retries += budget.tryWithdraw() ? 1 : 0
       throw OVERLOADED
     }
   })
@@ -80,7 +80,7 @@
 
   it('refill the budget when they are served, so that a home which has used it up sends retries again', async () => {
     const budget = createRetryBudget()
-    while (budget.spend()) {
+    while (budget.tryWithdraw()) {
       // Uses up what there was.
     }
     const counter = createRequestCounter({
@@ -94,7 +94,7 @@
 
   it('refill nothing when they ask no upstream for work', async () => {
     const budget = createRetryBudget()
-    while (budget.spend()) {
+    while (budget.tryWithdraw()) {
       // Uses up what there was.
     }
     const counter = createRequestCounter({
--- a/test/mysql-proxy/upstreams/decisions.test.ts
+++ b/test/mysql-proxy/upstreams/decisions.test.ts
@@ -91,13 +91,13 @@
 describe('createRetryBudget', () => {
   it('grants no more retries than a part of the requests, once what was saved is spent', () => {
     const budget = createRetryBudget()
-    while (budget.spend()) {
+    while (budget.tryWithdraw()) {
       // Spends what was saved.
     }
     let granted = 0
     for (let request = 0; request < 100; request++) {
-      budget.earn()
-      granted += budget.spend() ? 1 : 0
+      budget.deposit()
+      granted += budget.tryWithdraw() ? 1 : 0
     }
     expect(granted <= 20).toEqual(true)
   })
