--- a/src/entry/requests/choose-upstream.ts
+++ b/src/entry/requests/choose-upstream.ts
@@ -118,7 +118,7 @@
   const { health, pool, queue } = resources
   return {
     latencyMs: health.latencyMs,
-    busy: queue.running + queue.waiting + homes.loadOf(target.upstream),
+    busy: queue.running + queue.waiting + homes.inProgressAt(target.upstream),
     slots: target.slots,
     isLocalDomain: target.failureDomain === failureDomain,
     isPrimary,
--- a/src/entry/requests/forwarding-executor.ts
+++ b/src/entry/requests/forwarding-executor.ts
@@ -1,7 +1,7 @@
 /** Executes statements at an upstream by forwarding them to one of its homes. */
 import { toRequestError } from '../../core/errors/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
-import { HOP_GRACE_MS, type HomeReply, type PassedOn } from '../homes/index.ts'
+import { FORWARDING_GRACE_MS, type HomeReply, type ForwardRequest } from '../homes/index.ts'
 import type { UsedUpstream } from '../pools/index.ts'
 import type { KnownHost } from '../registry/index.ts'
 import type { LogPosition } from '../../positions/position.ts'
@@ -24,7 +24,7 @@
 /** Client of one home for one request or transaction. */
 interface HomeLink {
   /** Sends a message and waits for the reply. A home that fails is not chosen again for the request. */
-  ask: (scope: RequestScope, type: string, body: unknown, onLateReply?: PassedOn['onLateReply']) => Promise<HomeReply>
+  ask: (scope: RequestScope, type: string, body: unknown, onLateReply?: ForwardRequest['onLateReply']) => Promise<HomeReply>
   /** Checks that the home responds, since a write sent to an unresponsive home would be in doubt. */
   ensureAlive: (scope: RequestScope) => Promise<void>
   /** Rolls back an open transaction at the home; never rejects. */
@@ -50,9 +50,9 @@
     ask: async (scope, type, body, onLateReply) => {
       scope.home = home.name
       const sentAt = performance.now()
-      const timeoutMs = scope.deadline.leftMs + HOP_GRACE_MS
+      const timeoutMs = scope.deadline.leftMs + FORWARDING_GRACE_MS
       return await avoidOnError(scope, async () => {
-        const reply = await homes.ask(home, { upstream, type, body, timeoutMs, onLateReply })
+        const reply = await homes.forward(home, { upstream, type, body, timeoutMs, onLateReply })
         resources.health.answered()
         resources.health.recordLatency(performance.now() - sentAt)
         return reply
@@ -62,7 +62,7 @@
     rollBack: async (transaction) => {
       try {
         const body = { transaction }
-        await homes.ask(home, { upstream, type: 'home-rollback', body, timeoutMs: ROLLBACK_MS })
+        await homes.forward(home, { upstream, type: 'home-rollback', body, timeoutMs: ROLLBACK_MS })
       } catch {
         // The home ends transactions that are idle or whose link has closed.
       }
--- a/src/entry/requests/reads.ts
+++ b/src/entry/requests/reads.ts
@@ -146,7 +146,7 @@
       return { ...finalAnswerOf(outcome), upstream }
     }
     if (decision.mayHaveRun) {
-      context.limits.countAgain(scope.organisation ?? '')
+      context.limits.countRetry(scope.organisation ?? '')
     }
     logRetry(context, scope, upstream, cause, constraint)
     if (decision.excludeUpstream) {
@@ -163,7 +163,7 @@
   { retryBudget, logger }: Pick<EntryContext, 'retryBudget' | 'logger'>,
   { requestId, group, attempts, home }: RequestScope, upstream: string, cause: RetryCause
 ): boolean {
-  if (retryBudget.spend()) {
+  if (retryBudget.tryWithdraw()) {
     return true
   }
   logger.log('warn', 'retry.refused', {
--- a/src/entry/requests/session-transaction.ts
+++ b/src/entry/requests/session-transaction.ts
@@ -68,7 +68,7 @@
     return await open.execute(scope, statement)
   } catch (thrown) {
     if (!open.begun) {
-      session.context.limits.giveBack(open.organisation)
+      session.context.limits.refund(open.organisation)
     }
     return { ...failureAnswer('aborted', '', 'failed'), failure: failureOf(thrown, true) }
   } finally {
--- a/src/entry/requests/session.ts
+++ b/src/entry/requests/session.ts
@@ -128,7 +128,7 @@
     idleSince = performance.now()
     if (succeededAtUpstream(answer)) {
       // Only the caller's host retries statements, so only that host earns retries; a home does not.
-      context.retryBudget.earn()
+      context.retryBudget.deposit()
     }
     if (answer.state === 'failed') {
       transaction.failureReported()
--- a/test/mysql-proxy/routing/request-counter.test.ts
+++ b/test/mysql-proxy/routing/request-counter.test.ts
@@ -41,7 +41,7 @@
       if (observed.requests % SERVED_ONE_IN === 0) {
         return { answer: EMPTY_ANSWER }
       }
-      observed.retries += budget.spend() ? 1 : 0
+      observed.retries += budget.tryWithdraw() ? 1 : 0
       throw OVERLOADED
     }
   })
@@ -77,7 +77,7 @@
 
   it('refills an exhausted budget with served requests', async () => {
     const budget = createRetryBudget()
-    while (budget.spend()) {
+    while (budget.tryWithdraw()) {
       // Exhausts the budget.
     }
     const counter = createRequestCounter({
@@ -91,7 +91,7 @@
 
   it('does not refill the budget with rollbacks', async () => {
     const budget = createRetryBudget()
-    while (budget.spend()) {
+    while (budget.tryWithdraw()) {
       // Exhausts the budget.
     }
     const counter = createRequestCounter({
