--- a/src/retries/retry-budget.ts
+++ b/src/retries/retry-budget.ts
@@ -1,42 +1,40 @@
 /**
- * Whether a retry may be sent.
+ * Bounds retries to a fraction of the served statements, so that they cannot multiply an overload.
  *
- * Inputs: statements that were served, and retries so far. Rule: {@link SERVED_PER_RETRY} served statements add a
- * retry to a balance, up to {@link GREATEST_BALANCE}; a retry takes one, and is not sent when there is none.
- * Why: retries must not multiply an overload. Only what is served refills the balance: refusals grow with the overload,
- * and a budget that they refill grows with it.
+ * Every {@link SERVED_PER_RETRY} served statements add one retry to a balance, up to {@link MAX_BALANCE}. Refused
+ * statements add nothing, since their number grows with the overload.
  */
 
-/** Served statements that earn a retry. */
+/** Number of served statements that add one retry to the balance. */
 const SERVED_PER_RETRY = 5
-/** Greatest balance, and the one at the start, in retries. */
-const GREATEST_BALANCE = 100
+/** Greatest balance, which is also the initial one, in retries. */
+const MAX_BALANCE = 100
 
-/** A balance of retries. */
+/** Balance of retries. */
 export interface RetryBudget {
-  /** Counts a statement that was served. Whoever takes retries for a statement counts it, and nobody else does. */
+  /** Counts a served statement. Called only by the process that would have withdrawn retries for the statement. */
   deposit: () => void
   /**
-   * Takes a retry from the balance.
+   * Withdraws a retry from the balance.
    *
-   * @returns whether there was one
+   * @returns false when the balance is less than one retry
    */
   tryWithdraw: () => boolean
-  /** Retries that are left; a part of one is not enough for the next. */
+  /** Number of retries left; may be fractional. */
   readonly balance: number
 }
 
 /**
- * Creates a budget with a full balance.
+ * Creates a retry budget with a full balance.
  *
  * @returns the budget
  */
 export function createRetryBudget (): RetryBudget {
-  const greatestServed = GREATEST_BALANCE * SERVED_PER_RETRY
-  /** Served statements that no retry has used up. */
-  let served = greatestServed
+  const maxServed = MAX_BALANCE * SERVED_PER_RETRY
+  /** Served statements that were not yet exchanged for a retry. */
+  let served = maxServed
   return {
-    deposit: () => { served = Math.min(greatestServed, served + 1) },
+    deposit: () => { served = Math.min(maxServed, served + 1) },
     tryWithdraw: () => {
       if (served < SERVED_PER_RETRY) {
         return false
