--- a/src/entry/homes/home-watch.ts
+++ b/src/entry/homes/home-watch.ts
@@ -1,12 +1,10 @@
 /**
- * Failure detector for homes, in two steps. A home that statements wait for is probed when it has not answered anything
- * for {@link PROBE_AFTER_IDLE_MS}. Without an answer within {@link SUSPECT_AFTER_MS} it is suspected: it is skipped
- * until it answers, and abandoned by requests that can run elsewhere. After {@link DISCONNECT_AFTER_MS} its link is
- * closed and the requests that wait there fail.
+ * Failure detector for homes. A home that statements wait for is probed when it has not answered anything for a while.
+ * Without an answer it is first suspected: it is skipped until it answers, and requests that can run elsewhere abandon
+ * it. Later its link is closed, and the requests that wait there fail.
  *
- * When several homes are silent, all others with a link are probed; when a silent one answers, all silent ones are. A
- * partition is then detected at once instead of one home at a time. See also limits/recent-requesters.ts and
- * limits/process-pauses.ts.
+ * When several homes are silent, all others are probed, and when one answers again, all silent ones are, so that the
+ * beginning and the end of a partition are detected for all homes at once.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -45,17 +43,17 @@
 /** Detects homes that do not respond. */
 export interface HomeFailureDetector {
   /**
-   * Checks whether a home is alive: probes it, unless it has answered recently.
+   * Checks whether a home is alive. A home that has answered within {@link PROBE_AFTER_IDLE_MS} is not probed.
    *
    * @param home - the home
    * @returns whether it has answered within {@link SUSPECT_AFTER_MS}
    */
   isAlive: (home: KnownHost) => Promise<boolean>
   /**
-   * Probes a home periodically while a request waits for it, unless it keeps answering.
+   * Checks periodically whether a home is alive while a request waits for it.
    *
    * @param home - the home
-   * @param onSuspected - called each time that a probe is not answered in time
+   * @param onSuspected - called each time that the home is found not to be alive
    * @returns stops probing
    */
   probeWhileWaiting: (home: KnownHost, onSuspected: () => void) => () => void
--- a/src/entry/homes/upstream-homes.ts
+++ b/src/entry/homes/upstream-homes.ts
@@ -1,6 +1,6 @@
 /**
  * Computes the homes of each upstream from the live hosts (placement/upstream-homes.ts) and caches them, since they are
- * looked up several times per statement. Hosts that are leaving are left out unless all are.
+ * looked up several times per statement. Hosts that are leaving are excluded, unless every host is leaving.
  */
 import { homesOf } from '../../placement/upstream-homes.ts'
 import type { DesiredStateInForce } from '../desired-state/index.ts'
--- a/src/entry/limits/limit-order.ts
+++ b/src/entry/limits/limit-order.ts
@@ -1,10 +1,7 @@
 /**
- * Determines the owner of each organisation's limit, its fallback owners, and since when no other host can have owned
- * it.
- *
- * Live hosts are ordered by rendezvous hashing for the organisation, without those that are leaving unless all are. The
- * first is the owner, and each further one is a fallback owner while all before it are silent. Ownership is exclusive
- * since the last change of the list of hosts or the last pause of this process, whichever is later.
+ * Determines the owner of each organisation's limit by rendezvous hashing over the live hosts. The first host in the
+ * order is the owner; each further one is a fallback owner while all before it are silent. Ownership is exclusive since
+ * the last change of the list of hosts or the last pause of this process, whichever is later.
  */
 import { orderByScore } from '../../placement/upstream-homes.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
@@ -19,7 +16,10 @@
 
 /** Order in which hosts own the limits. */
 interface OwnerOrder {
-  /** Hosts that may own an organisation's limit: the owner, then its fallback owners. */
+  /**
+   * Hosts that may own an organisation's limit: the owner, then its fallback owners. Hosts that are leaving are left
+   * out, unless every host is leaving.
+   */
   of: (organisation: string) => KnownHost[]
   /** Position of this host as an owner of an organisation's limit. */
   ownershipOf: (organisation: string) => Ownership
--- a/src/entry/limits/recent-requesters.ts
+++ b/src/entry/limits/recent-requesters.ts
@@ -7,8 +7,9 @@
 import type { KnownHost } from '../registry/index.ts'
 
 /**
- * Times in milliseconds: without a request until a host counts as silent, until it is no longer probed, and between two
- * rounds of probes. `afterMs` exceeds the interval at which hosts retry refused requests (`MAX_LOCAL_REFUSAL_MS`).
+ * Time without a request after which a host counts as silent, time after which it is no longer probed, and least time
+ * between two rounds of probes, in milliseconds. Hosts whose operations are refused send the next request earlier than
+ * `afterMs`.
  */
 const SILENT_REQUESTERS = { afterMs: 700, forgottenAfterMs: 10_000, minIntervalMs: 500 } as const
 
--- a/test/entry/process/homes.test.ts
+++ b/test/entry/process/homes.test.ts
@@ -156,7 +156,7 @@
     }
   })
 
-  it('rolls back a transaction that a busy home has begun after the caller abandoned it', async () => {
+  it('rolls back a transaction that a busy home begins after the request was abandoned', async () => {
     homes.forEach((home) => suite.world.busy.set(home, BUSY_MS))
     const caller = await begin(other)
     const writing = caller.write()
