--- a/src/mysql-proxy/failover/choose-successor.ts
+++ b/src/mysql-proxy/failover/choose-successor.ts
@@ -66,5 +66,5 @@
  * @returns its name; undefined when no replica takes work
  */
 export function preferredReplica (view: GroupView): string | undefined {
-  return view.replicaNames.find((replica) => view.takesWork(replica))
+  return view.replicaNames.find((replica) => view.isAvailable(replica))
 }
--- a/src/mysql-proxy/failover/election.ts
+++ b/src/mysql-proxy/failover/election.ts
@@ -36,7 +36,7 @@
   if (fenced.length < view.majority) {
     return { type: 'failed', term, reason: `only ${fenced.length} of ${view.upstreams.size} upstreams were fenced` }
   }
-  const successor = chooseSuccessor(fenced, { preferred, isLeaving: (upstream) => view.isLeaving(upstream) })
+  const successor = chooseSuccessor(fenced, { preferred, isLeaving: (upstream) => view.isDraining(upstream) })
   const primary = successor.view.declaration.name
   if (!await promote(successor.view, term)) {
     return { type: 'failed', term, reason: `${primary} did not take the promotion, or another term came first` }
@@ -66,7 +66,7 @@
     return (await channel.command('promote', [term])).accepted
   } catch {
     // The answer is lost. Without a status the promotion counts as failed, and the next election takes a higher term.
-    const observed = await channel.fresh().catch(() => undefined)
+    const observed = await channel.fetchStatus().catch(() => undefined)
     return observed?.status.term === term && observed.status.role === 'primary'
   }
 }
--- a/src/mysql-proxy/failover/elections.ts
+++ b/src/mysql-proxy/failover/elections.ts
@@ -57,7 +57,7 @@
       return result.reason
     }
     promotions++
-    view.announce(result)
+    view.adoptLeadership(result)
     announce(result)
     logger.log('info', 'failover.done', { group: name, term: result.term, primary: result.primary })
     return `${result.primary} is primary in term ${result.term}`
--- a/src/mysql-proxy/failover/group-watch.ts
+++ b/src/mysql-proxy/failover/group-watch.ts
@@ -108,7 +108,7 @@
       health.observe(observation)
       void actions.electIfNeeded()
     },
-    hearLeadership: (leadership) => view.announce(leadership),
+    hearLeadership: (leadership) => view.adoptLeadership(leadership),
     promote: async (upstream) => await elections.run({
       reason: 'an operator ordered it', preferred: upstream ?? preferredReplica(view), planned: true
     }),
--- a/src/mysql-proxy/failover/probes.ts
+++ b/src/mysql-proxy/failover/probes.ts
@@ -33,12 +33,12 @@
   const probePrimary = async (): Promise<void> => {
     const channel = view.upstreams.get(view.leadership.primary)?.channel
     // A failure is counted by the view's `onFailure`.
-    await channel?.fresh().then(onPrimaryAnswer, () => {})
+    await channel?.fetchStatus().then(onPrimaryAnswer, () => {})
   }
 
   const probeReplicas = async (): Promise<void> => {
     const channels = view.replicaNames.map((replica) => view.upstreams.get(replica)!.channel)
-    await Promise.allSettled(channels.map(async (channel) => await channel.fresh()))
+    await Promise.allSettled(channels.map(async (channel) => await channel.fetchStatus()))
   }
 
   return {
--- a/src/mysql-proxy/failover/watch-actions.ts
+++ b/src/mysql-proxy/failover/watch-actions.ts
@@ -106,7 +106,7 @@
     handOverIfLeaving: async () => {
       const { primary } = view.leadership
       const mayAct = mayHandOver({ duties: group().duties, rank: rank(), electing: elections.inProgress })
-      if (!mayAct || view.usablePrimary === undefined || !view.isLeaving(primary)) {
+      if (!mayAct || view.usablePrimary === undefined || !view.isDraining(primary)) {
         return
       }
       const successor = preferredReplica(view)
--- a/src/mysql-proxy/operators/tables.ts
+++ b/src/mysql-proxy/operators/tables.ts
@@ -99,7 +99,7 @@
       upstream: upstream.name,
       address: `${upstream.address}:${upstream.port}`,
       domain: upstream.failureDomain,
-      state: view?.isLeaving(upstream.name) === true ? 'draining' : upstream.state,
+      state: view?.isDraining(upstream.name) === true ? 'draining' : upstream.state,
       role: status?.role ?? '',
       term: status?.term ?? 0,
       position: status?.position ?? 0,
--- a/src/mysql-proxy/routing/acknowledgement.ts
+++ b/src/mysql-proxy/routing/acknowledgement.ts
@@ -47,7 +47,7 @@
 > = {
   replicated: async (view, place, source, deadline) => await view.waitForMajority(place, source, deadline),
   confirmed: async (view, place, _source, deadline) => {
-    const answers = await view.askMajority(deadline)
+    const answers = await view.queryMajority(deadline)
     return answers.every(({ status }) => status.term <= place.term && status.fencedTerm <= place.term)
   }
 }
--- a/src/mysql-proxy/routing/begin-transaction.ts
+++ b/src/mysql-proxy/routing/begin-transaction.ts
@@ -44,7 +44,7 @@
 async function beginOnce (
   { view, pools, table }: TransactionGroup, { id, service }: { id: string, service: string }, deadline: Deadline
 ): Promise<HomeReply> {
-  const target = await view.primary(deadline)
+  const target = await view.waitForPrimary(deadline)
   const pool = pools.get(target.view.declaration.name)
   if (pool === undefined) {
     throw transactionLost('its upstream was removed')
--- a/src/mysql-proxy/routing/group-home.ts
+++ b/src/mysql-proxy/routing/group-home.ts
@@ -127,7 +127,7 @@
     statusTimeoutMs: STATUS_TIMEOUT_MS,
     onLeadership: ({ term, primary }: Leadership) => {
       logger.log('info', 'group.leadership', { group: name, term, primary })
-      pools.abortAllBut(primary)
+      pools.abortAllExcept(primary)
     },
     onUnreachable: (upstream, reason) => {
       logger.log('warn', 'upstream.unreachable', { group: name, upstream, reason })
@@ -141,7 +141,7 @@
 function refreshWhile (view: GroupView, isNeeded: () => boolean): () => void {
   const timer = setInterval(() => {
     if (isNeeded()) {
-      view.refresh()
+      view.refreshInBackground()
     }
   }, WATCH_MS)
   timer.unref()
--- a/src/mysql-proxy/routing/index.ts
+++ b/src/mysql-proxy/routing/index.ts
@@ -127,7 +127,7 @@
   })
   peers.handle('leadership', async (body) => {
     const { group, term, primary } = leadershipNoticeSchema.parse(body)
-    homes.get(group)?.view.announce({ term, primary })
+    homes.get(group)?.view.adoptLeadership({ term, primary })
     return true
   })
 }
--- a/src/mysql-proxy/routing/placed-homes.ts
+++ b/src/mysql-proxy/routing/placed-homes.ts
@@ -88,7 +88,7 @@
     },
     openPlaced: async () => {
       const names = configuration.versions().filter(({ group }) => group !== null).map(({ name }) => name)
-      await Promise.all(names.filter(isPlacedHere).map(async (name) => await homeOf(name).view.refreshNow()))
+      await Promise.all(names.filter(isPlacedHere).map(async (name) => await homeOf(name).view.refreshAndWait()))
     },
     waitUntilIdle: async (timeoutMs) => {
       const until = performance.now() + timeoutMs
--- a/src/mysql-proxy/routing/primary-work.ts
+++ b/src/mysql-proxy/routing/primary-work.ts
@@ -61,7 +61,7 @@
     }
     if (isReadOnlyRefusal(thrown)) {
       // A primary that does not answer is marked by the channel's own failure; the refusal is what the caller gets.
-      await target.view.channel.fresh().catch(() => {})
+      await target.view.channel.fetchStatus().catch(() => {})
     }
     throw thrown
   }
--- a/src/mysql-proxy/routing/read-route.ts
+++ b/src/mysql-proxy/routing/read-route.ts
@@ -94,7 +94,7 @@
 
 function fitReplicas ({ view, floor, kind }: Pick<PlacedRead, 'view' | 'floor' | 'kind'>): string[] {
   return view.replicaNames.filter((name) => {
-    const state = { takesWork: view.takesWork(name), end: view.knownEnd(name), ageMs: view.age.ageMs(name) }
+    const state = { takesWork: view.isAvailable(name), end: view.lastKnownLogEnd(name), ageMs: view.age.ageMs(name) }
     return isFit(state, floor, kind.maximumAgeMs)
   })
 }
@@ -125,14 +125,14 @@
 async function waitForReplica (options: PlacedRead): Promise<string | undefined> {
   const { view, floor, kind, group, deadline } = options
   const patience = new Deadline(catchUpWaitMs(group.limits.catchUpMs, deadline.leftMs))
-  const candidates = view.replicaNames.filter((name) => view.takesWork(name))
+  const candidates = view.replicaNames.filter((name) => view.isAvailable(name))
   const waits = candidates.map(async (name) => {
     const { channel } = view.upstreams.get(name)!
     const reached = await channel.waitUntil((status) => meetsFloor(logEnd(status), floor), patience)
     const tooOld = (): boolean => view.age.ageMs(name) > kind.maximumAgeMs
     if (reached !== undefined && tooOld()) {
-      await view.usablePrimary?.channel.fresh()
-      const target = view.knownEnd(view.leadership.primary)
+      await view.usablePrimary?.channel.fetchStatus()
+      const target = view.lastKnownLogEnd(view.leadership.primary)
       await channel.waitUntil((status) => meetsFloor(logEnd(status), target), patience)
     }
     if (reached === undefined || tooOld()) {
@@ -145,7 +145,7 @@
 }
 
 async function choosePrimary ({ view, deadline }: PlacedRead, reason: string): Promise<ReadChoice> {
-  const primary = await view.primary(deadline)
+  const primary = await view.waitForPrimary(deadline)
   return { upstream: primary.view.declaration.name, fromReplica: false, reason }
 }
 
@@ -162,7 +162,7 @@
   if (view.majority <= HOLDERS_OF_REPLICA_DATA) {
     return { ...reply, floor: { ...floor, seenOn: [{ upstream, incarnation }] } }
   }
-  const { status } = await deadline.race(channel.fresh(), 'not-run', 'confirming a read')
+  const { status } = await deadline.race(channel.fetchStatus(), 'not-run', 'confirming a read')
   return { ...reply, floor: await confirm(options, view.leadership.primary, logEnd(status)) }
 }
 
@@ -208,6 +208,6 @@
 
 function refreshAges ({ view, kind }: ReadOptions): void {
   if (performance.now() - view.age.newestProbeAt > refreshIntervalMs(kind.maximumAgeMs)) {
-    view.refresh()
+    view.refreshInBackground()
   }
 }
--- a/src/mysql-proxy/routing/session-floor.ts
+++ b/src/mysql-proxy/routing/session-floor.ts
@@ -17,7 +17,7 @@
  * @returns the place
  */
 export async function findReadIndex (view: GroupView, deadline: Deadline): Promise<LogPosition> {
-  const answers = await view.askMajority(deadline)
+  const answers = await view.queryMajority(deadline)
   return endsOf(answers)[view.majority - 1] ?? LOG_START
 }
 
@@ -42,7 +42,7 @@
   const known = view.upstreams.get(upstream)
   if (known?.reachable === true) {
     try {
-      const { status } = await deadline.race(known.channel.fresh(), 'not-run', 'finding what a session has seen')
+      const { status } = await deadline.race(known.channel.fetchStatus(), 'not-run', 'finding what a session has seen')
       if (status.incarnation === incarnation) {
         return logEnd(status)
       }
@@ -50,7 +50,7 @@
       // The upstream does not answer: the majority is asked instead, which covers what the session saw there.
     }
   }
-  return endsOf(await view.askMajority(deadline)).at(-1) ?? LOG_START
+  return endsOf(await view.queryMajority(deadline)).at(-1) ?? LOG_START
 }
 
 /** Ends of the logs, the least far first. */
--- a/src/mysql-proxy/routing/settle.ts
+++ b/src/mysql-proxy/routing/settle.ts
@@ -41,9 +41,9 @@
   const { view, deadline } = options
   while (!deadline.passed) {
     try {
-      const target = await view.primary(deadline)
+      const target = await view.waitForPrimary(deadline)
       const record = await contest(options, target, attempt)
-      const { status } = await target.view.channel.fresh()
+      const { status } = await target.view.channel.fetchStatus()
       await acknowledge(options, target, logEnd(status))
       return settleByRecord(record, attempt, target, logEnd(status), view.name)
     } catch (thrown) {
--- a/src/mysql-proxy/routing/transactions.ts
+++ b/src/mysql-proxy/routing/transactions.ts
@@ -79,7 +79,7 @@
       throw transactionLost('its primary was superseded')
     }
     // A primary that does not answer is marked by the channel's own failure; the begin waits for the next one.
-    await target.view.channel.fresh().catch(() => {})
+    await target.view.channel.fetchStatus().catch(() => {})
     await beginTransaction(group, { id, service }, deadline)
     return await runStatement(group, id, statement, deadline)
   }
--- a/src/mysql-proxy/routing/write-route.ts
+++ b/src/mysql-proxy/routing/write-route.ts
@@ -60,7 +60,7 @@
   let doubtful = false
   for (;;) {
     try {
-      const target = await view.primary(deadline)
+      const target = await view.waitForPrimary(deadline)
       const committed = await runPlainWrite(options, target)
       await acknowledge(options, target, committed.place)
       return describeWrite(committed, target)
@@ -94,7 +94,7 @@
 }
 
 async function attemptKeyedWrite (options: WriteOptions, attempt: KeyedAttempt): Promise<HomeReply> {
-  const target = await options.view.primary(options.deadline)
+  const target = await options.view.waitForPrimary(options.deadline)
   try {
     const committed = await runKeyedWrite(options, target, attempt)
     await acknowledge(options, target, committed.place)
--- a/src/mysql-proxy/upstreams/group-pools.ts
+++ b/src/mysql-proxy/upstreams/group-pools.ts
@@ -9,7 +9,7 @@
   /** Replaces the declarations. */
   update: (group: Group) => void
   /** Breaks the connections to all upstreams but one. */
-  abortAllBut: (upstream: string) => void
+  abortAllExcept: (upstream: string) => void
   close: () => void
 }
 
@@ -59,7 +59,7 @@
   return {
     byName,
     update,
-    abortAllBut: (kept) => byName.forEach((pool, upstream) => {
+    abortAllExcept: (kept) => byName.forEach((pool, upstream) => {
       if (upstream !== kept) {
         pool.abort()
       }
--- a/src/mysql-proxy/upstreams/group-view.ts
+++ b/src/mysql-proxy/upstreams/group-view.ts
@@ -35,7 +35,7 @@
   private readonly search = createPrimarySearch({
     isNeeded: () => !this.closed && this.usablePrimary === undefined,
     // Failed questions are reported by `onFailure` of the channel.
-    askAll: () => this.upstreams.forEach(({ channel }) => { channel.fresh().catch(() => {}) })
+    askAll: () => this.upstreams.forEach(({ channel }) => { channel.fetchStatus().catch(() => {}) })
   })
 
   private refreshing = false
@@ -80,9 +80,9 @@
    * @param name - its name
    * @returns false while it leaves or does not answer
    */
-  takesWork (name: string): boolean {
+  isAvailable (name: string): boolean {
     const view = this.upstreams.get(name)
-    return view !== undefined && view.reachable && !this.isLeaving(name)
+    return view !== undefined && view.reachable && !this.isDraining(name)
   }
 
   /**
@@ -91,7 +91,7 @@
    * @param name - its name
    * @returns whether it is
    */
-  isLeaving (name: string): boolean {
+  isDraining (name: string): boolean {
     const view = this.upstreams.get(name)
     const reportsLeaving = this.group.duties.draining === 'act' && view?.channel.latest?.status.leaving === true
     return view === undefined || view.declaration.state === 'draining' || reportsLeaving
@@ -103,7 +103,7 @@
    * @param name - its name
    * @returns the place, or the start of the log when it was never seen
    */
-  knownEnd (name: string): LogPosition {
+  lastKnownLogEnd (name: string): LogPosition {
     const status = this.upstreams.get(name)?.channel.latest?.status
     return status === undefined ? LOG_START : logEnd(status)
   }
@@ -113,7 +113,7 @@
    *
    * @param leadership - term and primary
    */
-  announce (leadership: Leadership): void {
+  adoptLeadership (leadership: Leadership): void {
     if (!this.isNewer(leadership)) {
       return
     }
@@ -128,7 +128,7 @@
    * @returns the primary and its term
    * @throws RequestError `NoUpstream` with verdict `not-run`
    */
-  async primary (deadline: Deadline): Promise<{ view: UpstreamView, term: number }> {
+  async waitForPrimary (deadline: Deadline): Promise<{ view: UpstreamView, term: number }> {
     while (!this.closed) {
       const view = this.usablePrimary
       if (view !== undefined) {
@@ -168,7 +168,7 @@
    * @returns the answers of the first majority
    * @throws RequestError `NoUpstream` with verdict `not-run`
    */
-  async askMajority (deadline: Deadline): Promise<ObservedStatus[]> {
+  async queryMajority (deadline: Deadline): Promise<ObservedStatus[]> {
     const channels = [...this.upstreams.values()].map(({ channel }) => channel)
     const asked = askUntilMajority(channels, this.majority, () =>
       this.noUpstream('a majority of the upstreams does not answer'))
@@ -176,7 +176,7 @@
   }
 
   /** Asks all upstreams in the background, so that ages and positions are known. */
-  refresh (): void {
+  refreshInBackground (): void {
     if (this.refreshing) {
       return
     }
@@ -185,8 +185,8 @@
   }
 
   /** Asks all upstreams and waits for those that answer in time. */
-  async refreshNow (): Promise<void> {
-    await Promise.allSettled([...this.upstreams.values()].map(async ({ channel }) => await channel.fresh()))
+  async refreshAndWait (): Promise<void> {
+    await Promise.allSettled([...this.upstreams.values()].map(async ({ channel }) => await channel.fetchStatus()))
   }
 
   /**
@@ -218,7 +218,7 @@
       upstreams: [...this.upstreams].map(([name, view]) => ({
         name,
         reachable: view.reachable,
-        leaving: this.isLeaving(name),
+        leaving: this.isDraining(name),
         ageMs: Math.round(this.age.ageMs(name)),
         questions: view.channel.questions,
         status: view.channel.latest?.status
@@ -288,8 +288,8 @@
   private async refreshAll (): Promise<void> {
     const primary = this.upstreams.get(this.leadership.primary)
     // A failure is reported by `onFailure` of the channel; the replicas are asked all the same.
-    await primary?.channel.fresh().catch(() => {})
-    const others = this.replicaNames.map(async (name) => await this.upstreams.get(name)!.channel.fresh())
+    await primary?.channel.fetchStatus().catch(() => {})
+    const others = this.replicaNames.map(async (name) => await this.upstreams.get(name)!.channel.fetchStatus())
     await Promise.allSettled(others)
   }
 
--- a/src/mysql-proxy/upstreams/majority.ts
+++ b/src/mysql-proxy/upstreams/majority.ts
@@ -31,7 +31,7 @@
   await new Promise<void>((resolve, reject) => {
     let failures = 0
     for (const channel of channels) {
-      channel.fresh().then((observed) => {
+      channel.fetchStatus().then((observed) => {
         answers.push(observed)
         if (answers.length === majority) {
           resolve()
--- a/src/mysql-proxy/upstreams/status-channel.ts
+++ b/src/mysql-proxy/upstreams/status-channel.ts
@@ -46,7 +46,7 @@
    * @returns the status
    * @throws RequestError when the upstream does not answer in time
    */
-  fresh: () => Promise<ObservedStatus>
+  fetchStatus: () => Promise<ObservedStatus>
   /**
    * Waits until a status satisfies a condition.
    *
@@ -140,7 +140,7 @@
   return {
     get latest () { return latest },
     get questions () { return state.questions },
-    fresh: createSharedQuestion(ask),
+    fetchStatus: createSharedQuestion(ask),
     waitUntil: async (condition, deadline) => {
       if (latest !== undefined && condition(latest.status)) {
         return latest
--- a/test/mysql-proxy/failover/election.test.ts
+++ b/test/mysql-proxy/failover/election.test.ts
@@ -24,7 +24,7 @@
     for (let round = 0; round < 8; round++) {
       const views = Array.from({ length: 4 }, createView)
       await Promise.all(views.map(async (view) =>
-        await Promise.allSettled([...view.upstreams.values()].map(async ({ channel }) => await channel.fresh()))))
+        await Promise.allSettled([...view.upstreams.values()].map(async ({ channel }) => await channel.fetchStatus()))))
       const results = await Promise.all(views.map(async (view) => await electPrimary({ view, planned: false })))
       for (const result of results) {
         if (result.type === 'promoted') {
@@ -43,7 +43,7 @@
   it('does not count a superseded primary as a replica of its own writes', async () => {
     const servers = [...deployment.standins.groups.get(GROUP)!.values()]
     const view = createView()
-    await view.refreshNow()
+    await view.refreshAndWait()
     const first = await electPrimary({ view, planned: false })
     expect(first.type).toEqual('promoted')
     await deployment.waitForPrimaries()
@@ -54,10 +54,10 @@
     others.forEach((upstream) => upstream.fence(term + 1))
     others[0]!.promote(term + 1)
     others[1]!.follow(others[0]!.name, term + 1)
-    await view.refreshNow()
+    await view.refreshAndWait()
     expect(view.leadership).toEqual({ term: term + 1, primary: others[0]!.name })
     await old.run({ sql: "INSERT INTO records (session, request, amount) VALUES ('late', 'late', 1)" })
-    await view.refreshNow()
+    await view.refreshAndWait()
     expect(await view.waitForMajority(old.log.end, old.name, new Deadline(200))).toEqual(false)
     deployment.standins.mendReplication()
     view.close()
@@ -66,7 +66,7 @@
   it('promotes the preferred upstream of a planned change, though others accept the fence sooner', async () => {
     const view = createView()
     for (const preferred of deployment.standins.groups.get(GROUP)!.keys()) {
-      await view.refreshNow()
+      await view.refreshAndWait()
       const upstreams = [...deployment.standins.groups.get(GROUP)!.values()].map(({ upstream }) => upstream)
       upstreams.forEach((upstream) => upstream.follow(view.leadership.primary, view.leadership.term))
       await until(() => new Set(upstreams.map(({ log }) => JSON.stringify(log.end))).size === 1)
--- a/test/mysql-proxy/operators/duties.test.ts
+++ b/test/mysql-proxy/operators/duties.test.ts
@@ -77,7 +77,7 @@
     leaving.leaving = true
     await until(async () => {
       await readRequests(connection, 'nobody')
-      return !home.view.takesWork(leaving.name)
+      return !home.view.isAvailable(leaving.name)
     })
     const opened = (): number => deployment.upstream(GROUP, leaving.name).upstream.statementsServed
     const before = opened()
@@ -86,7 +86,7 @@
     }
     expect(opened()).toEqual(before)
     await setDuty('draining', 'off')
-    expect(home.view.takesWork(leaving.name)).toEqual(true)
+    expect(home.view.isAvailable(leaving.name)).toEqual(true)
     leaving.leaving = false
   })
 })
