--- a/src/mysql-proxy/upstreams/admission.ts
+++ b/src/mysql-proxy/upstreams/admission.ts
@@ -1,86 +1,80 @@
 /**
- * Rule: which request is refused at once by a home's pool, and what does Retry-After say?
- *
- * Inputs: the requests that wait, the bound of the queue (`limits.queue`), the mean latency of the upstream (ms), the
- * statements that run at a time, and the time left to the request (ms).
- *
- * - A request is refused when the queue is full, or when it would queue for more than half of its time: what starts too
- *   late would be cut off in the middle. The first in the queue is always admitted.
- * - When its turn comes it is not started with less than twice the mean latency left.
- * - A refused caller should come back when the queue, with its request, is expected to be done.
+ * Admission control of a connection pool. A request is refused when the queue is full, or when its expected queueing
+ * time exceeds half of its remaining time. A request whose turn comes with less than twice the mean latency left is
+ * not started.
  */
 
-/** Longest time after which a caller should come back, in milliseconds. */
-const MAXIMUM_RETRY_AFTER_MS = 1000
-/** Least time after which a caller should come back, in milliseconds. */
-const MINIMUM_RETRY_AFTER_MS = 1
-/** Latency assumed before one is measured, in milliseconds. */
-const FIRST_GUESS_MS = 1
-/** Part of its time that a request may expect to queue; the rest is for running it. */
-const QUEUEING_SHARE = 0.5
-/** Times the mean latency that must be left when a request starts. */
-const TIME_TO_RUN = 2
+/** Upper bound of the retry delay sent to refused callers, in milliseconds. */
+const MAX_RETRY_AFTER_MS = 1000
+/** Lower bound of the retry delay sent to refused callers, in milliseconds. */
+const MIN_RETRY_AFTER_MS = 1
+/** Latency assumed until the first statement has completed, in milliseconds. */
+const DEFAULT_LATENCY_MS = 1
+/** Fraction of its remaining time that a request may spend in the queue. */
+const MAX_QUEUEING_FRACTION = 0.5
+/** Remaining time required to start a request, as a multiple of the mean latency. */
+const MIN_REMAINING_LATENCIES = 2
 
-/** How fast a queue moves. */
-interface QueuePace {
-  /** Mean latency of a statement, in milliseconds; 0 before one is measured. */
+/** Latency and concurrency of a queue's statements, from which its queueing time is estimated. */
+interface QueueThroughput {
+  /** Mean latency of a statement, in milliseconds; 0 until the first statement has completed. */
   meanMs: number
-  /** Statements that run at a time. */
+  /** Statements that may run concurrently. */
   concurrency: number
 }
 
-/** A request before the queue. */
-interface QueueingRequest extends QueuePace {
-  /** Name of the upstream, for the message. */
+/** A request that asks for admission to the queue. */
+interface AdmissionRequest extends QueueThroughput {
+  /** Name of the upstream, for the refusal's reason. */
   upstream: string
-  /** Requests that wait. */
+  /** Requests in the queue. */
   waiting: number
-  /** Requests that may wait. */
-  bound: number
-  /** Time left to the request, in milliseconds. */
-  leftMs: number
+  /** Maximum number of requests in the queue. */
+  capacity: number
+  /** Time until the request's deadline, in milliseconds. */
+  remainingMs: number
 }
 
 /**
- * Finds out why a request is refused before it queues.
+ * Returns why a request must be refused. A request that finds the queue empty is always admitted.
  *
- * @param request - the request and the queue
- * @returns the reason; undefined when it may queue
+ * @param request - the request and the state of the queue
+ * @returns the reason; undefined when the request is admitted
  */
-export function findRefusal (request: QueueingRequest): string | undefined {
-  const { upstream, waiting, bound, leftMs } = request
-  if (waiting >= bound) {
+export function findRefusalReason (request: AdmissionRequest): string | undefined {
+  const { upstream, waiting, capacity, remainingMs } = request
+  if (waiting >= capacity) {
     return `${waiting} requests wait for ${upstream} already`
   }
-  if (waiting > 0 && expectedWaitMs(waiting, request) > leftMs * QUEUEING_SHARE) {
+  if (waiting > 0 && expectedWaitMs(waiting, request) > remainingMs * MAX_QUEUEING_FRACTION) {
     return `the queue for ${upstream} is too long for the deadline`
   }
   return undefined
 }
 
 /**
- * Decides whether too little time is left to start a request.
+ * Checks whether a request would probably exceed its deadline if it were started.
  *
- * @param leftMs - time left, in milliseconds
- * @param meanMs - mean latency, in milliseconds
- * @returns whether it is too little
+ * @param remainingMs - time until the deadline, in milliseconds
+ * @param meanMs - mean latency of a statement, in milliseconds
+ * @returns whether too little time remains
  */
-export function isTooLateToStart (leftMs: number, meanMs: number): boolean {
-  return leftMs < meanMs * TIME_TO_RUN
+export function isTooLateToStart (remainingMs: number, meanMs: number): boolean {
+  return remainingMs < meanMs * MIN_REMAINING_LATENCIES
 }
 
 /**
- * Computes when a refused caller should come back.
+ * Estimates when the queue, including the refused request, would have been processed.
  *
- * @param waiting - requests that wait
- * @param pace - how fast the queue moves
- * @returns the time until then, in milliseconds
+ * @param waiting - requests in the queue
+ * @param throughput - latency and concurrency of the queue
+ * @returns the delay after which the caller should retry, 1 to 1000 ms
  */
-export function retryAfterMs (waiting: number, pace: QueuePace): number {
-  const expectedMs = Math.ceil(expectedWaitMs(waiting + 1, pace))
-  return Math.max(MINIMUM_RETRY_AFTER_MS, Math.min(MAXIMUM_RETRY_AFTER_MS, expectedMs))
+export function retryAfterMs (waiting: number, throughput: QueueThroughput): number {
+  const expectedMs = Math.ceil(expectedWaitMs(waiting + 1, throughput))
+  return Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, expectedMs))
 }
 
-function expectedWaitMs (waiting: number, { meanMs, concurrency }: QueuePace): number {
-  return (waiting * (meanMs || FIRST_GUESS_MS)) / Math.max(1, concurrency)
+function expectedWaitMs (waiting: number, { meanMs, concurrency }: QueueThroughput): number {
+  return (waiting * (meanMs || DEFAULT_LATENCY_MS)) / Math.max(1, concurrency)
 }
--- a/src/mysql-proxy/upstreams/client-set.ts
+++ b/src/mysql-proxy/upstreams/client-set.ts
@@ -1,6 +1,6 @@
 /**
- * The connections of one home to one upstream, within its share (`connection-share.ts`). Owns the connections; a closed
- * or broken one leaves the set by itself.
+ * Set of connections from one home to one upstream, limited by the home's share (`connection-share.ts`). A connection
+ * that closes or fails is removed from the set.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { Dialer } from '../../core/wire/dialer.ts'
@@ -8,41 +8,41 @@
 import { isTooManyConnections } from '../../mysql/connection-lost.ts'
 import { createConnectionShare } from './connection-share.ts'
 
-/** Time to open a connection, in milliseconds. */
+/** Timeout for opening a connection, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 1000
 
 /** Options of {@link createClientSet}. */
 interface ClientSetOptions {
   access: UpstreamAccess
   dialer: Dialer
-  /** Connections this home may hold. */
+  /** Maximum number of connections of this home. */
   share: number
   onShareChange: () => void
 }
 
-/** Connections to one upstream. */
+/** Open connections to one upstream. */
 interface ClientSet {
-  /** Connections that may be held now. */
+  /** Maximum number of connections at present. */
   readonly share: number
   readonly open: number
   readonly idle: number
-  /** Connections that the upstream had no room for. */
+  /** Connection attempts that the upstream rejected because its connection limit was reached. */
   readonly refused: number
   /**
-   * Takes an idle connection or opens one.
+   * Takes an idle connection or opens a new one.
    *
-   * @returns the connection; undefined when the share is used up
+   * @returns the connection; undefined when the share is exhausted
    */
   take: () => Promise<Client> | undefined
   /**
-   * Gives a connection back.
+   * Returns a connection to the set.
    *
    * @param client - the connection
-   * @param reuse - false when its state is in doubt, so that it is closed
+   * @param reuse - whether the connection may be reused; otherwise it is closed
    */
-  giveBack: (client: Client, reuse: boolean) => void
+  release: (client: Client, reuse: boolean) => void
   setShare: (share: number) => void
-  /** Breaks all connections, so that work in progress ends now. */
+  /** Closes all connections, which fails the work in progress. */
   abort: () => void
   close: () => void
 }
@@ -50,8 +50,8 @@
 /**
  * Creates an empty set.
  *
- * @param options - upstream and share
- * @returns the set; connections are opened when needed
+ * @param options - the upstream and the share
+ * @returns the set; connections are opened on demand
  */
 export function createClientSet ({ access, dialer, share: declaredShare, onShareChange }: ClientSetOptions): ClientSet {
   const clients = new Set<Client>()
@@ -59,10 +59,10 @@
   const share = createConnectionShare(declaredShare, onShareChange)
   let opening = 0
   let closed = false
-  /** Counts the times that all connections were broken: one that was being opened then is broken too. */
-  let aborts = 0
+  /** Number of calls of `abort`; a connection attempt that was in progress during one of them is discarded. */
+  let abortCount = 0
 
-  const forget = (client: Client): void => {
+  const remove = (client: Client): void => {
     clients.delete(client)
     const index = idle.indexOf(client)
     if (index >= 0) {
@@ -71,16 +71,16 @@
   }
   const open = async (): Promise<Client> => {
     opening++
-    const abortsBefore = aborts
+    const abortCountBefore = abortCount
     try {
       const client = await openClient({ access, dialer, connectTimeoutMs: CONNECT_TIMEOUT_MS })
-      if (aborts !== abortsBefore) {
+      if (abortCount !== abortCountBefore) {
         client.close()
         const reason = 'work there was broken off while it was opened'
         throw new RequestError('not-run', 'ConnectionLost', { upstream: access.name, reason })
       }
       clients.add(client)
-      client.onClose(() => forget(client))
+      client.onClose(() => remove(client))
       return client
     } catch (thrown) {
       if (isTooManyConnections(thrown)) {
@@ -92,7 +92,7 @@
     }
   }
   const abort = (): void => {
-    aborts++
+    abortCount++
     const open = [...clients]
     open.forEach((client) => client.close())
   }
@@ -108,7 +108,7 @@
       }
       return clients.size + opening >= Math.max(1, share.current) ? undefined : open()
     },
-    giveBack: (client, reuse) => {
+    release: (client, reuse) => {
       if (!reuse || closed || clients.size > share.current) {
         client.close()
         return
@@ -117,7 +117,7 @@
         idle.push(client)
       }
     },
-    setShare: share.declare,
+    setShare: share.setDeclared,
     abort,
     close: () => {
       closed = true
--- a/src/mysql-proxy/upstreams/concurrency-limit.ts
+++ b/src/mysql-proxy/upstreams/concurrency-limit.ts
@@ -1,67 +1,64 @@
 /**
- * How many statements to have in progress on an upstream. The limit follows measured latency: while statements take
- * about as long as the fastest recent ones, it grows; when they take longer, they queue at the upstream and it shrinks.
+ * Adaptive concurrency limit for the statements of an upstream. The limit grows while the mean latency stays close to
+ * the lowest recent latency, and shrinks when higher latency shows that statements queue at the upstream.
  */
 
-/** Weight of a new sample in the running mean. */
+/** Smoothing factor of the mean latency and of the limit. */
 const SAMPLE_WEIGHT = 0.1
-/** Statements whose mean is one candidate for the fastest latency; a single one may be a stroke of luck. */
+/** Statements per batch; the lowest latency is taken from means of batches, so that single outliers do not count. */
 const BATCH_SAMPLES = 8
-/** Batches after which the fastest latency is measured anew. */
+/** Batches per window; at the end of a window, the lowest latency of earlier windows is discarded. */
 const WINDOW_BATCHES = 64
-/** Queueing at the upstream, as a multiple of the fastest latency, that is accepted. */
-const TOLERATED_SLOWDOWN = 3
-/** Least change of the mean latency that is taken for queueing, in milliseconds. */
-const TIMER_GRAIN_MS = 2
-/**
- * Time after the last statement from which the mean latency is out of date, in milliseconds: the next one measures it
- * anew.
- */
-const MEAN_VALID_MS = 500
-/** Most the limit shrinks by in one step. */
-const SMALLEST_GRADIENT = 0.5
+/** Mean latency up to which the limit grows, as a multiple of the lowest latency. */
+const TOLERATED_LATENCY_RATIO = 3
+/** Added to the tolerated latency, in milliseconds, so that timer resolution is not mistaken for queueing. */
+const TIMER_RESOLUTION_MS = 2
+/** Age of the last sample, in milliseconds, from which the mean is stale and the next sample replaces it. */
+const MEAN_MAX_AGE_MS = 500
+/** Lower bound of the ratio of tolerated to mean latency, which bounds how fast the limit shrinks. */
+const MIN_GRADIENT = 0.5
 
-/** Follows latency and limits how much may be in progress. */
+/** Concurrency limit that adapts to the latency of statements. */
 interface ConcurrencyLimit {
-  /** Statements that may be in progress. */
+  /** Statements that may run concurrently; at least 1. */
   readonly current: number
-  /** Mean time of a statement, in milliseconds. */
+  /** Mean latency of a statement, in milliseconds; 0 before the first sample. */
   readonly meanMs: number
-  /** Whether the mean is out of date, as no statement has run for a while. */
-  readonly isMeanOutOfDate: boolean
+  /** Whether no statement has completed recently enough for the mean to be valid. */
+  readonly isMeanStale: boolean
   /**
-   * Records the latency of a statement.
+   * Adds the latency of a completed statement and adapts the limit.
    *
-   * @param latencyMs - its latency, in milliseconds
+   * @param latencyMs - the latency, in milliseconds
    */
   record: (latencyMs: number) => void
 }
 
 /** Options of {@link createConcurrencyLimit}. */
 interface ConcurrencyLimitOptions {
-  /** The limit to start with. */
+  /** Limit before the first sample. */
   initial: number
-  /** Greatest limit. */
+  /** Returns the upper bound of the limit. */
   maximum: () => number
 }
 
 /**
- * Creates a limit.
+ * Creates a concurrency limit.
  *
- * @param options - start and greatest value
+ * @param options - initial value and upper bound
  * @returns the limit
  */
 export function createConcurrencyLimit ({ initial, maximum }: ConcurrencyLimitOptions): ConcurrencyLimit {
   let limit = initial
   let mean = 0
-  let fastest = Infinity
-  let fastestOfWindow = Infinity
+  let lowest = Infinity
+  let lowestOfWindow = Infinity
   let batchSum = 0
   let samples = 0
-  let measuredAt = -Infinity
-  const isMeanOutOfDate = (): boolean => performance.now() - measuredAt > MEAN_VALID_MS
+  let lastSampleAt = -Infinity
+  const isMeanStale = (): boolean => performance.now() - lastSampleAt > MEAN_MAX_AGE_MS
 
-  const measureFastest = (latencyMs: number): void => {
+  const updateLowest = (latencyMs: number): void => {
     batchSum += latencyMs
     samples++
     if (samples % BATCH_SAMPLES !== 0) {
@@ -69,11 +66,11 @@
     }
     const batchMean = batchSum / BATCH_SAMPLES
     batchSum = 0
-    fastestOfWindow = Math.min(fastestOfWindow, batchMean)
-    fastest = Math.min(fastest, batchMean)
+    lowestOfWindow = Math.min(lowestOfWindow, batchMean)
+    lowest = Math.min(lowest, batchMean)
     if (samples === BATCH_SAMPLES * WINDOW_BATCHES) {
-      fastest = fastestOfWindow
-      fastestOfWindow = Infinity
+      lowest = lowestOfWindow
+      lowestOfWindow = Infinity
       samples = 0
     }
   }
@@ -81,13 +78,13 @@
   return {
     get current () { return Math.max(1, Math.min(Math.floor(limit), maximum())) },
     get meanMs () { return mean },
-    get isMeanOutOfDate () { return isMeanOutOfDate() },
+    get isMeanStale () { return isMeanStale() },
     record: (latencyMs) => {
-      measureFastest(latencyMs)
-      mean = isMeanOutOfDate() ? latencyMs : mean + SAMPLE_WEIGHT * (latencyMs - mean)
-      measuredAt = performance.now()
-      const tolerated = fastest * TOLERATED_SLOWDOWN + TIMER_GRAIN_MS
-      const gradient = Math.max(SMALLEST_GRADIENT, Math.min(1, tolerated / mean))
+      updateLowest(latencyMs)
+      mean = isMeanStale() ? latencyMs : mean + SAMPLE_WEIGHT * (latencyMs - mean)
+      lastSampleAt = performance.now()
+      const tolerated = lowest * TOLERATED_LATENCY_RATIO + TIMER_RESOLUTION_MS
+      const gradient = Math.max(MIN_GRADIENT, Math.min(1, tolerated / mean))
       const target = limit * gradient + Math.sqrt(limit) * SAMPLE_WEIGHT
       limit = Math.max(1, Math.min(maximum(), limit + SAMPLE_WEIGHT * (target - limit)))
     }
--- a/src/mysql-proxy/upstreams/connection-pool.ts
+++ b/src/mysql-proxy/upstreams/connection-pool.ts
@@ -1,11 +1,11 @@
 /**
- * The connections one home holds to one upstream: wires queues (`pool-queues.ts`), connections at work
- * (`pool-connections.ts`) and the rule of admission (`admission.ts`).
+ * Connection pool of one home (a proxy that serves the group's requests) for one upstream. Combines admission control
+ * (`admission.ts`), the queues (`pool-queues.ts`) and the connections (`pool-connections.ts`).
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { Dialer } from '../../core/wire/dialer.ts'
 import type { Client, UpstreamAccess } from '../../mysql/client.ts'
-import { findRefusal, isTooLateToStart, retryAfterMs } from './admission.ts'
+import { findRefusalReason, isTooLateToStart, retryAfterMs } from './admission.ts'
 import { createPoolConnections, type PinnedConnection } from './pool-connections.ts'
 import { createPoolQueues, type PoolRequest } from './pool-queues.ts'
 
@@ -14,15 +14,15 @@
   group: string
   access: UpstreamAccess
   dialer: Dialer
-  /** Connections this home may hold. */
+  /** Maximum number of connections of this home. */
   share: number
-  /** Statements the upstream executes at a time; where the adaptive limit starts. */
-  slots: number
-  /** Requests that may queue. */
-  queue: number
+  /** Initial value of the adaptive concurrency limit. */
+  initialConcurrency: number
+  /** Maximum number of queued requests. */
+  queueCapacity: number
 }
 
-/** State of a pool, for dumps. */
+/** State of a pool, for diagnostics. */
 interface PoolState {
   share: number
   open: number
@@ -35,54 +35,54 @@
   refusedConnections: number
 }
 
-/** Connections to one upstream. */
+/** Connection pool for one upstream. */
 export interface ConnectionPool {
   /**
-   * Runs work on a connection. What cannot be done in time is refused at once.
+   * Runs work on a connection. Refuses it immediately when the queue is full or the deadline is unlikely to be met.
    *
-   * @param request - needs of the work
-   * @param work - the work; it must throw when the connection's state is in doubt
-   * @returns what the work returned
+   * @param request - access, priority and deadline
+   * @param work - the work; must throw when the state of the connection is unknown
+   * @returns the result of the work
    * @throws RequestError with verdict `not-run` when the work was not started
    */
   run: <Result>(request: PoolRequest, work: (client: Client) => Promise<Result>) => Promise<Result>
-  /** Takes a connection for a transaction. */
+  /** Reserves a connection for a transaction until it is released. */
   pin: (request: PoolRequest) => Promise<PinnedConnection>
-  /** Changes the number of connections this home may hold. */
+  /** Changes the maximum number of connections of this home. */
   setShare: (share: number) => void
-  /** Breaks all connections, so that work in progress ends now. */
+  /** Closes all connections, which fails the work in progress. */
   abort: () => void
   state: () => PoolState
   close: () => void
 }
 
 /**
- * Creates a pool.
+ * Creates a connection pool.
  *
- * @param options - upstream and sizes
- * @returns the pool; connections are opened when needed
+ * @param options - the upstream and the limits of the pool
+ * @returns the pool; connections are opened on demand
  */
 export function createConnectionPool (options: ConnectionPoolOptions): ConnectionPool {
-  const { group, access, queue: bound } = options
+  const { group, access, queueCapacity: capacity } = options
   const queues = createPoolQueues()
   let closed = false
 
   const refuse = (reason: string): RequestError =>
-    new RequestError('not-run', 'Overloaded', { group, reason, retryAfterMs: retryAfterMs(queues.waiting, pace()) })
-  const connections = createPoolConnections({ ...options, refuse, onChange: () => adjust() })
-  const pace = () => ({ meanMs: connections.meanMs, concurrency: queues.concurrency })
-  /** Brings the queues in line with the limit, the share and what transactions hold. */
-  const adjust = (): void => queues.adjust(connections.concurrency, connections.share)
-  adjust()
+    new RequestError('not-run', 'Overloaded', { group, reason, retryAfterMs: retryAfterMs(queues.waiting, throughput()) })
+  const connections = createPoolConnections({ ...options, refuse, onChange: () => updateConcurrency() })
+  const throughput = () => ({ meanMs: connections.meanMs, concurrency: queues.concurrency })
+  /** Applies the current concurrency limit and share to the queues. */
+  const updateConcurrency = (): void => queues.setConcurrency(connections.concurrency, connections.share)
+  updateConcurrency()
   /**
-   * Whether the statement that starts now is to measure the mean anew, alone. Otherwise an upstream that was slow once
-   * would get no statement any more, and so none that shows that it is fast again.
+   * Whether the statement that starts now may run regardless of the mean latency, because the mean is stale. Without
+   * such a statement, a pool whose upstream was slow would refuse every statement and never measure the latency again.
    */
-  const measuresMean = (): boolean => connections.isMeanOutOfDate && queues.running <= 1
+  const isLatencyProbe = (): boolean => connections.isMeanStale && queues.running <= 1
 
   const admit = ({ deadline }: PoolRequest, waiting: number): void => {
-    const request = { ...pace(), upstream: access.name, waiting, bound, leftMs: deadline.leftMs }
-    const reason = closed ? 'the pool is closed' : findRefusal(request)
+    const request = { ...throughput(), upstream: access.name, waiting, capacity, remainingMs: deadline.leftMs }
+    const reason = closed ? 'the pool is closed' : findRefusalReason(request)
     if (reason !== undefined) {
       throw refuse(reason)
     }
@@ -92,10 +92,10 @@
     run: async (request, work) => {
       admit(request, queues.waitingBefore(request.access))
       return await queues.run(request, async () => {
-        if (!measuresMean() && isTooLateToStart(request.deadline.leftMs, connections.meanMs)) {
+        if (!isLatencyProbe() && isTooLateToStart(request.deadline.leftMs, connections.meanMs)) {
           throw refuse(`too little time is left to run it on ${access.name}`)
         }
-        return await connections.use(work)
+        return await connections.run(work)
       })
     },
     pin: async (request) => {
@@ -103,7 +103,7 @@
       return await new Promise<PinnedConnection>((resolve, reject) => {
         queues.pin(request, async () => {
           request.deadline.check('not-run', `queueing for upstream ${access.name}`)
-          await connections.hold(resolve)
+          await connections.pin(resolve)
         }).catch(reject)
       })
     },
--- a/src/mysql-proxy/upstreams/connection-share.ts
+++ b/src/mysql-proxy/upstreams/connection-share.ts
@@ -1,57 +1,57 @@
 /**
- * How many connections a home may hold to an upstream: the declared share, less after the upstream had no room, and one
- * more again after each {@link REGROW_MS}. Owns the share in force.
+ * Maximum number of connections from a home to an upstream. When the upstream rejects a connection because its limit is
+ * reached, the share shrinks to the open connections, and then grows by one per interval up to the declared share.
  */
 
-/** Time after which a share that was refused grows again by one, in milliseconds. */
-const REGROW_MS = 2000
+/** Interval at which a reduced share grows by one connection, in milliseconds. */
+const REGROW_INTERVAL_MS = 2000
 
-/** A share of an upstream's connections. */
+/** Share of an upstream's connections. */
 interface ConnectionShare {
-  /** Connections that may be held. */
+  /** Maximum number of connections at present. */
   readonly current: number
-  /** Connections that the upstream had no room for. */
+  /** Connection attempts that the upstream rejected because its connection limit was reached. */
   readonly refused: number
   /** Changes the declared share. */
-  declare: (share: number) => void
+  setDeclared: (share: number) => void
   /**
-   * Shrinks the share to what is open, since the upstream has no room for more.
+   * Counts a rejected connection attempt and reduces the share to the open connections.
    *
-   * @param open - connections that are open
+   * @param open - number of open connections
    */
   shrink: (open: number) => void
   close: () => void
 }
 
 /**
- * Creates a share.
+ * Creates a connection share.
  *
- * @param first - the declared share
- * @param onChange - called whenever the share in force was set
+ * @param initial - the declared share
+ * @param onChange - called after every update of the current share
  * @returns the share
  */
-export function createConnectionShare (first: number, onChange: () => void): ConnectionShare {
-  let declared = first
-  let current = first
+export function createConnectionShare (initial: number, onChange: () => void): ConnectionShare {
+  let declared = initial
+  let current = initial
   let refused = 0
 
-  const change = (next: number): void => {
+  const setCurrent = (next: number): void => {
     current = next
     onChange()
   }
-  const regrow = setInterval(() => change(Math.min(declared, current + 1)), REGROW_MS)
+  const regrow = setInterval(() => setCurrent(Math.min(declared, current + 1)), REGROW_INTERVAL_MS)
   regrow.unref()
 
   return {
     get current () { return current },
     get refused () { return refused },
-    declare: (share) => {
+    setDeclared: (share) => {
       declared = share
-      change(share)
+      setCurrent(share)
     },
     shrink: (open) => {
       refused++
-      change(Math.max(1, open))
+      setCurrent(Math.max(1, open))
     },
     close: () => clearInterval(regrow)
   }
--- a/src/mysql-proxy/upstreams/data-age.ts
+++ b/src/mysql-proxy/upstreams/data-age.ts
@@ -1,46 +1,47 @@
 /**
- * How old the data of each replica may be. Age counts from the sending of the probe that saw the primary at a position
- * which the replica has reached: everything committed before that moment is on the replica.
+ * Upper bounds on the age of each replica's data. Once a replica has reached the position that a probe of the primary
+ * returned, it holds everything committed before the probe was sent, so its age counts from that time.
  */
 import { comparePositions, meetsFloor, type LogPosition } from '../../positions/position.ts'
 
-/** Probes of the primary that are kept. */
-const REMEMBERED_PROBES = 128
+/** Maximum number of recent primary probes kept for comparison. */
+const MAX_PROBES = 128
 
-/** A probe of the primary. */
+/** Result of a probe of the primary. */
 interface PrimaryProbe {
+  /** When the probe was sent, in milliseconds of the monotonic clock. */
   sentAt: number
   end: LogPosition
 }
 
-/** Keeps probes of the primary and what replicas have reached. */
+/** Tracks the age of the replicas' data. */
 export interface DataAge {
-  /** Records a probe of the primary. */
-  primarySeen: (sentAt: number, end: LogPosition) => void
-  /** Records where a replica's log ended. */
-  replicaSeen: (replica: string, end: LogPosition) => void
+  /** Records the end of the primary's log. */
+  recordPrimary: (sentAt: number, end: LogPosition) => void
+  /** Records the end of a replica's log. */
+  recordReplica: (replica: string, end: LogPosition) => void
   /**
    * Returns the age of a replica's data.
    *
-   * @param replica - its name
-   * @returns the age in milliseconds; Infinity when nothing is known
+   * @param replica - name of the replica
+   * @returns the age in milliseconds; Infinity when the replica has not reached any probed position
    */
   ageMs: (replica: string) => number
-  /** When the newest probe of the primary was sent; -Infinity when there was none. */
+  /** When the latest probe of the primary was sent; -Infinity before the first one. */
   readonly newestProbeAt: number
 }
 
 /**
- * Creates an empty record.
+ * Creates a tracker without probes.
  *
- * @returns the record
+ * @returns the tracker
  */
 export function createDataAge (): DataAge {
   const probes: PrimaryProbe[] = []
   const currentAsOf = new Map<string, number>()
   const ends = new Map<string, LogPosition>()
 
-  const update = (replica: string): void => {
+  const updateAge = (replica: string): void => {
     const end = ends.get(replica)
     const probe = end === undefined ? undefined : probes.findLast((candidate) => meetsFloor(end, candidate.end))
     if (probe !== undefined) {
@@ -50,20 +51,20 @@
 
   return {
     get newestProbeAt () { return probes.at(-1)?.sentAt ?? -Infinity },
-    primarySeen: (sentAt, end) => {
+    recordPrimary: (sentAt, end) => {
       const newest = probes.at(-1)
       if (newest !== undefined && (newest.sentAt >= sentAt || comparePositions(end, newest.end) < 0)) {
         return
       }
       probes.push({ sentAt, end })
-      if (probes.length > REMEMBERED_PROBES) {
+      if (probes.length > MAX_PROBES) {
         probes.shift()
       }
-      ends.forEach((_end, replica) => update(replica))
+      ends.forEach((_end, replica) => updateAge(replica))
     },
-    replicaSeen: (replica, end) => {
+    recordReplica: (replica, end) => {
       ends.set(replica, end)
-      update(replica)
+      updateAge(replica)
     },
     ageMs: (replica) => performance.now() - (currentAsOf.get(replica) ?? -Infinity)
   }
--- a/src/mysql-proxy/upstreams/deadline-queue.ts
+++ b/src/mysql-proxy/upstreams/deadline-queue.ts
@@ -1,49 +1,48 @@
-/**
- * Queues tasks, each with a deadline after which it is not started. Owns nothing; relies on `p-queue` for the order.
- */
+/** Adds tasks with deadlines to a priority queue; a task whose deadline passes while it is queued is not started. */
 import type PQueue from 'p-queue'
 import { toRequestError } from '../../core/errors/index.ts'
 import type { Deadline } from '../../core/time/deadline.ts'
 
 /** Options of {@link enqueue}. */
 interface QueuedTask<Result> {
-  /** Higher goes first. */
+  /** Tasks with a higher priority start first. */
   priority: number
   deadline: Deadline
   run: () => Promise<Result>
-  /** Whether nothing has run at the upstream when the task fails: it only takes a connection. */
-  onlyTakesConnection?: boolean
+  /** Whether the task only acquires a connection; its failure then has the verdict `not-run`. */
+  onlyAcquiresConnection?: boolean
 }
 
 /**
- * Queues a task; it leaves the queue when its deadline passes before it starts.
+ * Queues a task and waits for its result.
  *
  * @param queue - the queue
  * @param task - the task
- * @returns what the task returned
- * @throws RequestError `DeadlineExceeded` with verdict `not-run`, or what the task failed with
+ * @returns the result of the task
+ * @throws RequestError `DeadlineExceeded` with verdict `not-run` when the task was not started in time, or the error of
+ *   the task
  */
 export async function enqueue<Result> (
-  queue: PQueue, { priority, deadline, run, onlyTakesConnection = false }: QueuedTask<Result>
+  queue: PQueue, { priority, deadline, run, onlyAcquiresConnection = false }: QueuedTask<Result>
 ): Promise<Result> {
   return await new Promise<Result>((resolve, reject) => {
-    let started = false
+    let startedOrExpired = false
     const timer = setTimeout(() => {
-      if (!started) {
-        started = true
+      if (!startedOrExpired) {
+        startedOrExpired = true
         reject(deadline.exceeded('not-run', 'queueing for an upstream'))
       }
     }, deadline.leftMs)
     const start = async (): Promise<void> => {
-      if (started) {
+      if (startedOrExpired) {
         return
       }
-      started = true
+      startedOrExpired = true
       clearTimeout(timer)
       try {
         resolve(await run())
       } catch (thrown) {
-        reject(toRequestError(thrown, onlyTakesConnection ? 'not-run' : 'may-have-run'))
+        reject(toRequestError(thrown, onlyAcquiresConnection ? 'not-run' : 'may-have-run'))
       }
     }
     void queue.add(start, { priority })
--- a/src/mysql-proxy/upstreams/declared-upstreams.ts
+++ b/src/mysql-proxy/upstreams/declared-upstreams.ts
@@ -1,17 +1,15 @@
-/**
- * Brings the upstreams of a group's view in line with changed declarations. Owns nothing; the view owns the upstreams.
- */
+/** Applies changed upstream declarations to the upstreams of a group's view. */
 import type { UpstreamDeclaration } from '../../core/config/index.ts'
 import type { UpstreamView } from './group-view-types.ts'
 
 /**
- * Closes upstreams that are not declared, replaces those whose address changed, and adds new ones.
+ * Closes upstreams that are no longer declared, replaces those whose address changed, and adds new ones.
  *
- * @param upstreams - upstreams of the view by name
- * @param declarations - the upstreams as declared
- * @param add - adds an upstream to the view, in place of one of the same name
+ * @param upstreams - upstreams of the view by name; modified in place
+ * @param declarations - the declared upstreams
+ * @param add - adds an upstream to the view or replaces the one of the same name
  */
-export function alignUpstreams (
+export function reconcileUpstreams (
   upstreams: Map<string, UpstreamView>,
   declarations: UpstreamDeclaration[],
   add: (declaration: UpstreamDeclaration) => void
@@ -24,13 +22,14 @@
     }
   }
   declarations.forEach((declaration) => {
-    const known = upstreams.get(declaration.name)
-    const moved = known?.declaration.address !== declaration.address || known.declaration.port !== declaration.port
-    if (known === undefined || moved) {
-      known?.channel.close()
+    const existing = upstreams.get(declaration.name)
+    const addressChanged =
+      existing?.declaration.address !== declaration.address || existing.declaration.port !== declaration.port
+    if (existing === undefined || addressChanged) {
+      existing?.channel.close()
       add(declaration)
       return
     }
-    known.declaration = declaration
+    existing.declaration = declaration
   })
 }
--- a/src/mysql-proxy/upstreams/group-pools.ts
+++ b/src/mysql-proxy/upstreams/group-pools.ts
@@ -1,14 +1,15 @@
-/** The connection pools of one home to all upstreams of a group, each with its share. Owns the pools. */
+/** Connection pools of one home for all upstreams of a group. */
 import type { Group } from '../../core/config/index.ts'
 import type { Dialer } from '../../core/wire/dialer.ts'
 import { createConnectionPool, type ConnectionPool } from './connection-pool.ts'
 
-/** Pools by the name of the upstream. */
+/** Connection pools of a group. */
 interface GroupPools {
+  /** Pools by the name of the upstream. */
   readonly byName: Map<string, ConnectionPool>
-  /** Replaces the declarations. */
+  /** Applies changed declarations of the group. */
   update: (group: Group) => void
-  /** Breaks the connections to all upstreams but one. */
+  /** Closes the connections to all upstreams except one, which fails the work in progress there. */
   abortAllExcept: (upstream: string) => void
   close: () => void
 }
@@ -23,13 +24,13 @@
 /**
  * Creates the pools of a group.
  *
- * @param options - the group and how to reach it
- * @returns the pools; connections are opened when needed
+ * @param options - the group and the dialer of its connections
+ * @returns the pools; connections are opened on demand
  */
 export function createGroupPools ({ name, group, dialer }: GroupPoolsOptions): GroupPools {
   const byName = new Map<string, ConnectionPool>()
 
-  const dropUndeclared = (declared: Set<string>): void => byName.forEach((pool, upstream) => {
+  const closeUndeclared = (declared: Set<string>): void => byName.forEach((pool, upstream) => {
     if (!declared.has(upstream)) {
       pool.close()
       byName.delete(upstream)
@@ -37,7 +38,7 @@
   })
 
   const update = (current: Group): void => {
-    dropUndeclared(new Set(current.upstreams.map((upstream) => upstream.name)))
+    closeUndeclared(new Set(current.upstreams.map((upstream) => upstream.name)))
     const share = shareOf(current)
     for (const upstream of current.upstreams) {
       const existing = byName.get(upstream.name)
@@ -48,8 +49,8 @@
           access: { ...upstream, ...current.account, database: name },
           dialer,
           share,
-          slots: current.limits.slots,
-          queue: current.limits.queue
+          initialConcurrency: current.limits.slots,
+          queueCapacity: current.limits.queue
         }))
       }
     }
@@ -59,8 +60,8 @@
   return {
     byName,
     update,
-    abortAllExcept: (kept) => byName.forEach((pool, upstream) => {
-      if (upstream !== kept) {
+    abortAllExcept: (excluded) => byName.forEach((pool, upstream) => {
+      if (upstream !== excluded) {
         pool.abort()
       }
     }),
@@ -68,7 +69,7 @@
   }
 }
 
-/** Homes divide what is left of the connections after the reserve. */
+/** Divides the upstream's connections, except the reserved ones, equally between the homes. */
 function shareOf ({ limits }: Group): number {
   return Math.max(1, Math.floor((limits.connections - limits.reservedConnections) / limits.homes))
 }
--- a/src/mysql-proxy/upstreams/group-view-types.ts
+++ b/src/mysql-proxy/upstreams/group-view-types.ts
@@ -1,37 +1,37 @@
-/** Types of the view of a database group (`group-view.ts`). */
+/** Types of a process's view of a database group (`group-view.ts`). */
 import type { Group, UpstreamDeclaration } from '../../core/config/index.ts'
 import type { RequestError } from '../../core/errors/index.ts'
 import type { Dialer } from '../../core/wire/dialer.ts'
 import type { StatusChannel } from './status-channel.ts'
 
-/** Leadership of a group. */
+/** Primary of a group in a term. */
 export interface Leadership {
   term: number
   /** Name of the primary. */
   primary: string
 }
 
-/** What the view knows of one upstream. */
+/** State of one upstream as seen by this process. */
 export interface UpstreamView {
   declaration: UpstreamDeclaration
   channel: StatusChannel
-  /** Whether it answered last time. */
+  /** Whether the last status query succeeded. */
   reachable: boolean
-  /** Whether it has been fenced while it led: its successor is not known yet. */
+  /** Whether it was the primary and has been fenced, while its successor is still unknown. */
   deposed: boolean
 }
 
-/** Options of a group's view. */
+/** Options of `GroupView`. */
 export interface GroupViewOptions {
   name: string
   group: Group
   dialer: Dialer
-  /** Time a status question may take, in milliseconds. */
+  /** Timeout of a status query, in milliseconds. */
   statusTimeoutMs: number
-  /** Called with every status question that an upstream did not answer. */
+  /** Called after every failed status query. */
   onFailure?: (upstream: string, error: RequestError) => void
-  /** Called when an upstream stops answering. */
+  /** Called when a reachable upstream becomes unreachable. */
   onUnreachable?: (upstream: string, reason: string) => void
-  /** Called when a new term is seen. */
+  /** Called when the view adopts a new term and primary. */
   onLeadership?: (leadership: Leadership) => void
 }
--- a/src/mysql-proxy/upstreams/group-view.ts
+++ b/src/mysql-proxy/upstreams/group-view.ts
@@ -1,41 +1,40 @@
 /**
- * One process's view of one database group: which upstream leads in which term, how far each log reaches, how old each
- * replica's data is, and which upstream does not answer. Owns the status channels; relies on `primary-search.ts` and
- * `majority.ts`.
+ * One process's view of a database group: the current term and its primary, the reachability and log position of each
+ * upstream, and the age of each replica's data. Owns the status channels.
  */
 import type { Group, UpstreamDeclaration } from '../../core/config/index.ts'
 import { RequestError } from '../../core/errors/index.ts'
 import type { Deadline } from '../../core/time/deadline.ts'
 import { createDataAge, type DataAge } from './data-age.ts'
-import { alignUpstreams } from './declared-upstreams.ts'
+import { reconcileUpstreams } from './declared-upstreams.ts'
 import { laterPosition, LOG_START, majorityOf, meetsFloor, type LogPosition } from '../../positions/position.ts'
 import type { GroupViewOptions, Leadership, UpstreamView } from './group-view-types.ts'
-import { askUntilMajority, waitForReplicas } from './majority.ts'
+import { queryUntilMajority, waitForReplicas } from './majority.ts'
 import { createPrimarySearch } from './primary-search.ts'
 import { createStatusChannel, type ObservedStatus } from './status-channel.ts'
 import { logEnd } from './status.ts'
 
 export type { GroupViewOptions, Leadership, UpstreamView } from './group-view-types.ts'
 
-/** Time after which a caller should come back while no primary is known, in milliseconds. */
+/** Delay after which a caller should retry when the group has no usable primary, in milliseconds. */
 const NO_PRIMARY_RETRY_MS = 250
 
-/** A process's view of a group. */
+/** View of a database group. */
 export class GroupView {
   readonly name: string
   readonly upstreams = new Map<string, UpstreamView>()
   readonly age: DataAge = createDataAge()
-  /** Everything up to here is known to be on a majority. */
+  /** Latest log position known to be replicated to a majority. */
   acknowledged: LogPosition = LOG_START
-  /** The leadership, as far as known. */
+  /** Primary of the highest known term; term 0 until one is known. */
   leadership: Leadership = { term: 0, primary: '' }
 
   private group: Group
   private readonly options: GroupViewOptions
   private readonly search = createPrimarySearch({
     isNeeded: () => !this.closed && this.usablePrimary === undefined,
-    // Failed questions are reported by `onFailure` of the channel.
-    askAll: () => this.upstreams.forEach(({ channel }) => { channel.fetchStatus().catch(() => {}) })
+    // The channel reports failures through `onFailure`.
+    queryAll: () => this.upstreams.forEach(({ channel }) => { channel.fetchStatus().catch(() => {}) })
   })
 
   private refreshing = false
@@ -48,12 +47,12 @@
     options.group.upstreams.forEach((declaration) => this.addUpstream(declaration))
   }
 
-  /** Upstreams that make a majority. */
+  /** Number of upstreams that form a majority. */
   get majority (): number {
     return majorityOf(this.upstreams.size)
   }
 
-  /** The primary that may be used now, if one is known and answers. */
+  /** The primary, if it is known, reachable and not deposed. */
   get usablePrimary (): UpstreamView | undefined {
     const primary = this.upstreams.get(this.leadership.primary)
     return primary?.reachable === true && !primary.deposed ? primary : undefined
@@ -65,20 +64,20 @@
   }
 
   /**
-   * Replaces the declarations.
+   * Applies changed declarations.
    *
-   * @param group - the declarations in force
+   * @param group - the current declaration of the group
    */
   update (group: Group): void {
     this.group = group
-    alignUpstreams(this.upstreams, group.upstreams, (declaration) => this.addUpstream(declaration))
+    reconcileUpstreams(this.upstreams, group.upstreams, (declaration) => this.addUpstream(declaration))
   }
 
   /**
-   * Decides whether an upstream may take new work.
+   * Checks whether an upstream may be given new work.
    *
-   * @param name - its name
-   * @returns false while it leaves or does not answer
+   * @param name - name of the upstream
+   * @returns whether it is reachable and not draining
    */
   isAvailable (name: string): boolean {
     const view = this.upstreams.get(name)
@@ -86,10 +85,10 @@
   }
 
   /**
-   * Decides whether an upstream is leaving, by its declaration or its own status.
+   * Checks whether an upstream is draining: by its declaration, or by its status if `duties.draining` is `act`.
    *
-   * @param name - its name
-   * @returns whether it is
+   * @param name - name of the upstream
+   * @returns whether it is draining; true for an undeclared upstream
    */
   isDraining (name: string): boolean {
     const view = this.upstreams.get(name)
@@ -98,10 +97,10 @@
   }
 
   /**
-   * Returns where an upstream's log ended when last seen.
+   * Returns the end of an upstream's log as of its latest status.
    *
-   * @param name - its name
-   * @returns the place, or the start of the log when it was never seen
+   * @param name - name of the upstream
+   * @returns the position; the start of the log when no status has been received
    */
   lastKnownLogEnd (name: string): LogPosition {
     const status = this.upstreams.get(name)?.channel.latest?.status
@@ -109,7 +108,7 @@
   }
 
   /**
-   * Records a new leadership that a keeper announced.
+   * Adopts a leadership announced by a keeper, unless its term is not newer than the known one.
    *
    * @param leadership - term and primary
    */
@@ -122,9 +121,9 @@
   }
 
   /**
-   * Waits for a primary that can be used.
+   * Waits for a usable primary and searches for one in the meantime.
    *
-   * @param deadline - when to give up
+   * @param deadline - limits the wait
    * @returns the primary and its term
    * @throws RequestError `NoUpstream` with verdict `not-run`
    */
@@ -144,10 +143,10 @@
   }
 
   /**
-   * Records that an upstream did not answer.
+   * Marks an upstream as unreachable and starts a search if no primary is usable.
    *
-   * @param name - its name
-   * @param reason - what happened
+   * @param name - name of the upstream
+   * @param reason - reason passed to `onUnreachable`
    */
   markUnreachable (name: string, reason: string): void {
     const view = this.upstreams.get(name)
@@ -162,55 +161,55 @@
   }
 
   /**
-   * Asks all upstreams, with questions sent after this call, until a majority has answered.
+   * Queries the status of all upstreams until a majority has answered. All queries are sent after this call.
    *
-   * @param deadline - when to give up
-   * @returns the answers of the first majority
+   * @param deadline - limits the wait
+   * @returns the statuses of the first upstreams that answered, exactly a majority
    * @throws RequestError `NoUpstream` with verdict `not-run`
    */
   async queryMajority (deadline: Deadline): Promise<ObservedStatus[]> {
     const channels = [...this.upstreams.values()].map(({ channel }) => channel)
-    const asked = askUntilMajority(channels, this.majority, () =>
+    const answers = queryUntilMajority(channels, this.majority, () =>
       this.noUpstream('a majority of the upstreams does not answer'))
-    return await deadline.race(asked, 'not-run', 'asking a majority of upstreams')
+    return await deadline.race(answers, 'not-run', 'asking a majority of upstreams')
   }
 
-  /** Asks all upstreams in the background, so that ages and positions are known. */
+  /** Updates the positions and data ages of all upstreams in the background; one refresh runs at a time. */
   refreshInBackground (): void {
     if (this.refreshing) {
       return
     }
     this.refreshing = true
-    void this.refreshAll().finally(() => { this.refreshing = false })
+    void this.refreshPrimaryThenReplicas().finally(() => { this.refreshing = false })
   }
 
-  /** Asks all upstreams and waits for those that answer in time. */
+  /** Queries all upstreams and waits until each query has succeeded or failed. */
   async refreshAndWait (): Promise<void> {
     await Promise.allSettled([...this.upstreams.values()].map(async ({ channel }) => await channel.fetchStatus()))
   }
 
   /**
-   * Waits until a place in the log of a term is on a majority.
+   * Waits until a log position is replicated to a majority within its term.
    *
-   * @param place - the place
-   * @param source - the upstream that wrote it; it does not count as one of its own replicas, whoever leads by now
-   * @param deadline - when to give up
-   * @returns whether it is; false when the term was superseded or time ran out
+   * @param target - the position
+   * @param source - the upstream that wrote it; never counted as a replica, even if it is no longer the primary
+   * @param deadline - limits the wait
+   * @returns whether it is replicated; false when the term was superseded or the deadline passed
    */
-  async waitForMajority (place: LogPosition, source: string, deadline: Deadline): Promise<boolean> {
-    if (meetsFloor(this.acknowledged, place) && this.acknowledged.term === place.term) {
+  async waitForMajority (target: LogPosition, source: string, deadline: Deadline): Promise<boolean> {
+    if (meetsFloor(this.acknowledged, target) && this.acknowledged.term === target.term) {
       return true
     }
     const needed = this.majority - 1
     const replicas = [...this.upstreams].filter(([name]) => name !== source).map(([, { channel }]) => channel)
-    if (needed > 0 && !await waitForReplicas(replicas, { place, needed, deadline })) {
+    if (needed > 0 && !await waitForReplicas(replicas, { target, needed, deadline })) {
       return false
     }
-    this.acknowledged = laterPosition(this.acknowledged, place)
+    this.acknowledged = laterPosition(this.acknowledged, target)
     return true
   }
 
-  /** State for dumps. */
+  /** Returns the state of the view for diagnostics. */
   dump (): unknown {
     return {
       ...this.leadership,
@@ -220,7 +219,7 @@
         reachable: view.reachable,
         leaving: this.isDraining(name),
         ageMs: Math.round(this.age.ageMs(name)),
-        questions: view.channel.questions,
+        questions: view.channel.queriesSent,
         status: view.channel.latest?.status
       }))
     }
@@ -230,7 +229,7 @@
   close (): void {
     this.closed = true
     this.upstreams.forEach((view) => view.channel.close())
-    this.search.wake()
+    this.search.wakeWaiters()
   }
 
   private addUpstream (declaration: UpstreamDeclaration): void {
@@ -263,17 +262,17 @@
     }
     if (!view.reachable) {
       view.reachable = true
-      this.search.wake()
+      this.search.wakeWaiters()
     }
-    const leads = name === this.leadership.primary && status.term === this.leadership.term && status.role === 'primary'
-    if (leads) {
-      this.age.primarySeen(sentAt, logEnd(status))
+    const isPrimary = name === this.leadership.primary && status.term === this.leadership.term && status.role === 'primary'
+    if (isPrimary) {
+      this.age.recordPrimary(sentAt, logEnd(status))
     } else {
-      this.age.replicaSeen(name, logEnd(status))
+      this.age.recordReplica(name, logEnd(status))
     }
   }
 
-  /** A higher term supersedes the known one; it counts once its primary is declared. */
+  /** A leadership is newer when its term is higher; it is ignored until its primary is declared. */
   private isNewer ({ term, primary }: Leadership): boolean {
     return term > this.leadership.term && this.upstreams.has(primary)
   }
@@ -282,15 +281,15 @@
     this.leadership = leadership
     this.upstreams.forEach((view) => { view.deposed = false })
     this.options.onLeadership?.(leadership)
-    this.search.wake()
+    this.search.wakeWaiters()
   }
 
-  private async refreshAll (): Promise<void> {
+  private async refreshPrimaryThenReplicas (): Promise<void> {
     const primary = this.upstreams.get(this.leadership.primary)
-    // A failure is reported by `onFailure` of the channel; the replicas are asked all the same.
+    // The channel reports a failure through `onFailure`; the replicas are queried regardless.
     await primary?.channel.fetchStatus().catch(() => {})
-    const others = this.replicaNames.map(async (name) => await this.upstreams.get(name)!.channel.fetchStatus())
-    await Promise.allSettled(others)
+    const queries = this.replicaNames.map(async (name) => await this.upstreams.get(name)!.channel.fetchStatus())
+    await Promise.allSettled(queries)
   }
 
   private noUpstream (reason: string): RequestError {
--- a/src/mysql-proxy/upstreams/lazy-client.ts
+++ b/src/mysql-proxy/upstreams/lazy-client.ts
@@ -1,20 +1,20 @@
-/** A connection to an upstream that opens when first needed, and again after it broke. Owns the connection. */
+/** Connection to an upstream that is opened on first use and reopened after it has failed. */
 import type { Dialer } from '../../core/wire/dialer.ts'
 import { openClient, type Client, type UpstreamAccess } from '../../mysql/client.ts'
 
-/** A connection that opens when needed. */
+/** Connection that is opened on demand. */
 interface LazyClient {
-  /** Returns the connection; calls during its opening share it. */
+  /** Returns the connection; concurrent calls share one connection attempt. */
   get: () => Promise<Client>
   close: () => void
 }
 
 /**
- * Creates a connection that is not open yet.
+ * Creates a connection without opening it.
  *
- * @param access - the upstream
+ * @param access - address and credentials of the upstream
  * @param dialer - opens connections
- * @param timeoutMs - time to connect and log in, in milliseconds
+ * @param timeoutMs - timeout for connecting and authenticating, in milliseconds
  * @returns the connection
  */
 export function createLazyClient (access: UpstreamAccess, dialer: Dialer, timeoutMs: number): LazyClient {
--- a/src/mysql-proxy/upstreams/majority.ts
+++ b/src/mysql-proxy/upstreams/majority.ts
@@ -1,30 +1,27 @@
-/**
- * Majorities of a group's upstreams: asks them for statuses, and waits until they hold a place in the log. Owns
- * nothing; relies on the status channels of the upstreams.
- */
+/** Quorum operations on a group: collects statuses from a majority, and waits until replicas reach a log position. */
 import type { RequestError } from '../../core/errors/index.ts'
 import type { Deadline } from '../../core/time/deadline.ts'
 import type { LogPosition } from '../../positions/position.ts'
 import type { ObservedStatus, StatusChannel } from './status-channel.ts'
 import type { UpstreamStatus } from './status.ts'
 
-/** A place in the log that replicas should hold. */
-interface ReplicatedPlace {
-  place: LogPosition
-  /** Replicas that must hold it. */
+/** Log position to be replicated, and the required number of replicas. */
+interface ReplicationTarget {
+  target: LogPosition
+  /** Replicas that must have reached the position. */
   needed: number
   deadline: Deadline
 }
 
 /**
- * Asks all upstreams, with questions sent after this call, until enough have answered.
+ * Queries the status of all upstreams until a majority has answered. All queries are sent after this call.
  *
- * @param channels - channels of the upstreams
- * @param majority - answers that are needed
- * @param noMajority - builds the error when too many have failed
- * @returns the answers of the first that answered, `majority` of them
+ * @param channels - status channels of the upstreams
+ * @param majority - number of answers required
+ * @param noMajority - creates the error thrown when too many queries have failed
+ * @returns the first `majority` statuses received
  */
-export async function askUntilMajority (
+export async function queryUntilMajority (
   channels: StatusChannel[], majority: number, noMajority: () => RequestError
 ): Promise<ObservedStatus[]> {
   const answers: ObservedStatus[] = []
@@ -48,14 +45,15 @@
 }
 
 /**
- * Waits until replicas hold a place in the log.
+ * Waits until enough replicas have reached a log position.
  *
- * @param replicas - channels of the replicas
- * @param wanted - the place, how many replicas, and until when
- * @returns whether enough hold it; false as soon as too few are left that still can, by their term or by the deadline
+ * @param replicas - status channels of the replicas
+ * @param wanted - the position, the number of replicas and the deadline
+ * @returns whether enough replicas have reached it; false as soon as enough no longer can, because replicas moved to a
+ *   newer term or the deadline passed
  */
 export async function waitForReplicas (
-  replicas: StatusChannel[], { place, needed, deadline }: ReplicatedPlace
+  replicas: StatusChannel[], { target, needed, deadline }: ReplicationTarget
 ): Promise<boolean> {
   if (replicas.length < needed) {
     return false
@@ -65,10 +63,10 @@
     let pending = 0
     for (const channel of replicas) {
       pending++
-      const settled = (status: UpstreamStatus): boolean => status.term > place.term || holds(status, place)
-      void channel.waitUntil(settled, deadline).then((observed) => {
+      const isSettled = (status: UpstreamStatus): boolean => status.term > target.term || hasReached(status, target)
+      void channel.waitUntil(isSettled, deadline).then((observed) => {
         pending--
-        if (observed !== undefined && holds(observed.status, place)) {
+        if (observed !== undefined && hasReached(observed.status, target)) {
           reached++
         }
         if (reached === needed) {
@@ -81,7 +79,7 @@
   })
 }
 
-/** A replica counts only in the term of the record: its log is then the primary's up to its end. */
-function holds (status: UpstreamStatus, place: LogPosition): boolean {
-  return status.term === place.term && status.logTerm === place.term && status.position >= place.position
+/** Only a log of the same term is known to be a prefix of the primary's log, so that positions can be compared. */
+function hasReached (status: UpstreamStatus, target: LogPosition): boolean {
+  return status.term === target.term && status.logTerm === target.term && status.position >= target.position
 }
--- a/src/mysql-proxy/upstreams/manual-commit.ts
+++ b/src/mysql-proxy/upstreams/manual-commit.ts
@@ -1,24 +1,23 @@
 /**
- * How statements run on a primary: with autocommit off, so that the statement opens its transaction and one call
- * commits it, enters its key and returns where the log then ends. It is two round trips for any statement, and no
- * BEGIN.
+ * Autocommit mode of connections. With autocommit off, a statement implicitly begins a transaction, and one procedure
+ * call commits it, records its request key and returns the end of the log: two round trips without a BEGIN.
  */
 import type { Client } from '../../mysql/client.ts'
 
-/** Connections whose autocommit has been switched off. */
-const manual = new WeakSet<Client>()
+/** Connections with autocommit off. */
+const manualCommitClients = new WeakSet<Client>()
 
 /**
- * Brings a connection into the wanted mode; nothing is sent when it is in it already.
+ * Turns autocommit of a connection off or on. Sends nothing when the connection is already in that mode.
  *
  * @param client - the connection
- * @param wanted - whether the caller will commit itself
- * @param timeoutMs - time for the change, in milliseconds
+ * @param enabled - true when the caller commits explicitly (autocommit off)
+ * @param timeoutMs - timeout of the statement, in milliseconds
  */
-export async function useManualCommit (client: Client, wanted: boolean, timeoutMs: number): Promise<void> {
-  if (manual.has(client) === wanted) {
+export async function useManualCommit (client: Client, enabled: boolean, timeoutMs: number): Promise<void> {
+  if (manualCommitClients.has(client) === enabled) {
     return
   }
-  await client.run({ sql: `SET autocommit = ${wanted ? 0 : 1}` }, timeoutMs, 'not-run')
-  wanted ? manual.add(client) : manual.delete(client)
+  await client.run({ sql: `SET autocommit = ${enabled ? 0 : 1}` }, timeoutMs, 'not-run')
+  enabled ? manualCommitClients.add(client) : manualCommitClients.delete(client)
 }
--- a/src/mysql-proxy/upstreams/pool-connections.ts
+++ b/src/mysql-proxy/upstreams/pool-connections.ts
@@ -1,6 +1,6 @@
 /**
- * The connections of a pool at work: takes one for a statement or for a transaction, measures latency, and gives it
- * back. Owns the set of connections, the count of those that transactions hold, and the concurrency limit.
+ * Connections of a pool in use: acquires a connection for a statement or a transaction, releases it afterwards, and
+ * feeds the latency of statements to the adaptive concurrency limit.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { Dialer } from '../../core/wire/dialer.ts'
@@ -12,53 +12,54 @@
 interface PoolConnectionsOptions {
   access: UpstreamAccess
   dialer: Dialer
-  /** Connections this home may hold. */
+  /** Maximum number of connections of this home. */
   share: number
-  /** Statements the upstream executes at a time; where the adaptive limit starts. */
-  slots: number
-  /** Called when share, held connections or concurrency have changed. */
+  /** Initial value of the adaptive concurrency limit. */
+  initialConcurrency: number
+  /** Called after the share, the pinned connections or the concurrency limit may have changed. */
   onChange: () => void
-  /** Builds the error when no connection is left. */
+  /** Creates the error thrown when no connection is available. */
   refuse: (reason: string) => RequestError
 }
 
-/** A connection held across several statements. */
+/** Connection reserved for a transaction. */
 export interface PinnedConnection {
   client: Client
   /**
-   * Gives the connection back.
+   * Returns the connection to the pool.
    *
-   * @param reuse - false when its state is in doubt, so that it is closed
+   * @param reuse - whether the connection may be reused; otherwise it is closed
    */
   release: (reuse: boolean) => void
 }
 
-/** Connections at work. */
+/** Connections of a pool. */
 interface PoolConnections {
+  /** Maximum number of connections at present. */
   readonly share: number
   readonly open: number
   readonly idle: number
-  /** Connections that the upstream had no room for. */
+  /** Connection attempts that the upstream rejected because its connection limit was reached. */
   readonly refused: number
-  /** Connections that transactions hold. */
+  /** Connections reserved for transactions. */
   readonly pinned: number
-  /** Statements that may run at a time. */
+  /** Statements that may run concurrently. */
   readonly concurrency: number
-  /** Mean latency of a statement, in milliseconds; 0 before one is measured. */
+  /** Mean latency of a statement, in milliseconds; 0 until the first statement has completed. */
   readonly meanMs: number
-  /** Whether the mean is out of date, as no statement has run for a while. */
-  readonly isMeanOutOfDate: boolean
-  /** Runs a statement's work on a connection; it must throw when the connection's state is in doubt. */
-  use: <Result>(work: (client: Client) => Promise<Result>) => Promise<Result>
+  /** Whether no statement has completed recently enough for the mean to be valid. */
+  readonly isMeanStale: boolean
+  /** Runs the work of a statement on a connection; the work must throw when the connection's state is unknown. */
+  run: <Result>(work: (client: Client) => Promise<Result>) => Promise<Result>
   /**
-   * Takes a connection for a transaction.
+   * Reserves a connection for a transaction.
    *
-   * @param onHeld - receives the connection
-   * @returns resolves once it has been given back
+   * @param onPinned - receives the connection
+   * @returns a promise that resolves once the connection is released
    */
-  hold: (onHeld: (held: PinnedConnection) => void) => Promise<void>
+  pin: (onPinned: (connection: PinnedConnection) => void) => Promise<void>
   setShare: (share: number) => void
-  /** Breaks all connections, so that work in progress ends now. */
+  /** Closes all connections, which fails the work in progress. */
   abort: () => void
   close: () => void
 }
@@ -66,14 +67,16 @@
 /**
  * Creates the connections of a pool.
  *
- * @param options - upstream, share, and what is called on changes
- * @returns the connections; they are opened when needed
+ * @param options - the upstream, limits and callbacks
+ * @returns the connections; they are opened on demand
  */
 export function createPoolConnections (options: PoolConnectionsOptions): PoolConnections {
   const { access, dialer, onChange } = options
   let pinned = 0
   const clients = createClientSet({ access, dialer, share: options.share, onShareChange: onChange })
-  const limit = createConcurrencyLimit({ initial: options.slots, maximum: () => Math.max(1, clients.share - pinned) })
+  const limit = createConcurrencyLimit({
+    initial: options.initialConcurrency, maximum: () => Math.max(1, clients.share - pinned)
+  })
 
   const acquire = async (): Promise<Client> => {
     const taken = clients.take()
@@ -91,8 +94,8 @@
     get pinned () { return pinned },
     get concurrency () { return limit.current },
     get meanMs () { return limit.meanMs },
-    get isMeanOutOfDate () { return limit.isMeanOutOfDate },
-    use: async (work) => {
+    get isMeanStale () { return limit.isMeanStale },
+    run: async (work) => {
       const client = await acquire()
       const startedAt = performance.now()
       let reuse = false
@@ -106,18 +109,18 @@
       } finally {
         limit.record(performance.now() - startedAt)
         onChange()
-        clients.giveBack(client, reuse)
+        clients.release(client, reuse)
       }
     },
-    hold: async (onHeld) => {
+    pin: async (onPinned) => {
       const client = await acquire()
       pinned++
       onChange()
-      await new Promise<void>((resolve) => onHeld({
+      await new Promise<void>((resolve) => onPinned({
         client,
         release: (reuse) => {
           pinned--
-          clients.giveBack(client, reuse)
+          clients.release(client, reuse)
           onChange()
           resolve()
         }
--- a/src/mysql-proxy/upstreams/pool-queues.ts
+++ b/src/mysql-proxy/upstreams/pool-queues.ts
@@ -1,50 +1,50 @@
 /**
- * The queues of a connection pool: all statements, the reads among them, and transactions, which only wait for a
- * connection. Owns the queues; reads run one fewer at a time than all, so that they cannot crowd out writes.
+ * Queues of a connection pool. Reads pass through a queue of their own, whose concurrency is one lower, before they
+ * enter the queue of all statements, so that they cannot starve writes. Transactions queue for a connection only.
  */
 import PQueue from 'p-queue'
 import type { Deadline } from '../../core/time/deadline.ts'
 import { enqueue } from './deadline-queue.ts'
 
-/** What a piece of work needs from the pool. */
+/** Access, priority and deadline of work submitted to a pool. */
 export interface PoolRequest {
   access: 'read' | 'write'
-  /** Higher goes first. */
+  /** Requests with a higher priority start first. */
   priority: number
   deadline: Deadline
 }
 
 /** Queues of a pool. */
 interface PoolQueues {
-  /** Statements that run at a time. */
+  /** Maximum number of concurrent statements. */
   readonly concurrency: number
-  /** Statements that wait for the last queue. */
+  /** Statements in the queue of all statements. */
   readonly waiting: number
   /** Statements in progress. */
   readonly running: number
-  /** All that wait, transactions included. */
+  /** Statements and transactions in all queues. */
   readonly queued: number
-  /** Statements that a request would wait behind. */
+  /** Returns the number of statements queued before a new request. */
   waitingBefore: (access: PoolRequest['access']) => number
-  /** Transactions that wait for a connection. */
+  /** Transactions queued for a connection. */
   readonly waitingTransactions: number
-  /** Queues a statement; see `enqueue`. */
+  /** Queues a statement; rejects like {@link enqueue}. */
   run: <Result>(request: PoolRequest, work: () => Promise<Result>) => Promise<Result>
-  /** Queues a transaction, which holds its place until `hold` returns. */
+  /** Queues a transaction; it occupies one of the concurrent transactions until the promise of `hold` settles. */
   pin: (request: PoolRequest, hold: () => Promise<void>) => Promise<void>
   /**
-   * Changes how many run at a time.
+   * Sets the concurrency of all queues. Transactions may use all connections but one, and at least one.
    *
-   * @param statements - statements
-   * @param connections - connections that may be held
+   * @param statements - maximum number of concurrent statements
+   * @param connections - maximum number of connections
    */
-  adjust: (statements: number, connections: number) => void
+  setConcurrency: (statements: number, connections: number) => void
 }
 
 /**
  * Creates empty queues.
  *
- * @returns the queues; one of each runs at a time
+ * @returns the queues, each with a concurrency of 1
  */
 export function createPoolQueues (): PoolQueues {
   const all = new PQueue({ concurrency: 1 })
@@ -62,8 +62,8 @@
       return access === 'read' ? await enqueue(reads, { priority, deadline, run: runInAll }) : await runInAll()
     },
     pin: async ({ priority, deadline }, hold) =>
-      await enqueue(transactions, { priority, deadline, run: hold, onlyTakesConnection: true }),
-    adjust: (statements, connections) => {
+      await enqueue(transactions, { priority, deadline, run: hold, onlyAcquiresConnection: true }),
+    setConcurrency: (statements, connections) => {
       all.concurrency = statements
       reads.concurrency = Math.max(1, statements - 1)
       transactions.concurrency = Math.max(1, connections - 1)
--- a/src/mysql-proxy/upstreams/primary-search.ts
+++ b/src/mysql-proxy/upstreams/primary-search.ts
@@ -1,41 +1,41 @@
 /**
- * Searches for a usable primary by asking all upstreams again and again, and lets requests wait for one. Owns the
- * waiting requests; the group's view decides which primary is usable.
+ * Searches for a usable primary by querying all upstreams periodically, and holds the requests that wait for one. The
+ * group's view decides whether a primary is usable.
  */
 import { pause, type Deadline } from '../../core/time/deadline.ts'
 
-/** Pause between two questions to all upstreams, in milliseconds. */
-const SEARCH_PAUSE_MS = 15
-/** The same once the group has been without a primary for long, in milliseconds. */
-const LONG_SEARCH_PAUSE_MS = 150
-/** Questions after which a group counts as long without a primary; with the pause, after 2.25 s. */
-const QUICK_QUESTIONS = 150
+/** Interval between rounds of queries, in milliseconds. */
+const SEARCH_INTERVAL_MS = 15
+/** Interval between rounds after {@link FAST_ROUNDS}, in milliseconds. */
+const SLOW_SEARCH_INTERVAL_MS = 150
+/** Rounds after which the search slows down, 2.25 s at the shorter interval. */
+const FAST_ROUNDS = 150
 
 /** Options of {@link createPrimarySearch}. */
 interface PrimarySearchOptions {
-  /** Whether the search goes on: no primary is usable, and the view is open. */
+  /** Returns whether to continue: the view is open and has no usable primary. */
   isNeeded: () => boolean
-  /** Asks all upstreams for their status, without waiting for the answers. */
-  askAll: () => void
+  /** Queries the status of all upstreams without waiting for the answers. */
+  queryAll: () => void
 }
 
-/** The search for a group's primary. */
+/** Search for a group's primary. */
 interface PrimarySearch {
-  /** Searches until a primary is usable; one search at a time. */
+  /** Starts searching until a primary is usable; does nothing while a search is running. */
   start: () => void
-  /** Waits until waiters are woken or the deadline passes. */
+  /** Waits until `wakeWaiters` is called or the deadline passes. */
   wait: (deadline: Deadline) => Promise<void>
-  /** Wakes all that wait, since leadership or reachability has changed. */
-  wake: () => void
+  /** Wakes all waiting requests after a change of leadership or reachability. */
+  wakeWaiters: () => void
 }
 
 /**
- * Creates a search that has not started.
+ * Creates a search without starting it.
  *
- * @param options - when to search, and how to ask
+ * @param options - condition and query of the search
  * @returns the search
  */
-export function createPrimarySearch ({ isNeeded, askAll }: PrimarySearchOptions): PrimarySearch {
+export function createPrimarySearch ({ isNeeded, queryAll }: PrimarySearchOptions): PrimarySearch {
   const waiters = new Set<() => void>()
   let searching = false
 
@@ -44,9 +44,9 @@
       return
     }
     searching = true
-    for (let questions = 0; isNeeded(); questions++) {
-      askAll()
-      await pause(questions < QUICK_QUESTIONS ? SEARCH_PAUSE_MS : LONG_SEARCH_PAUSE_MS)
+    for (let round = 0; isNeeded(); round++) {
+      queryAll()
+      await pause(round < FAST_ROUNDS ? SEARCH_INTERVAL_MS : SLOW_SEARCH_INTERVAL_MS)
     }
     searching = false
   }
@@ -62,6 +62,6 @@
       const timer = setTimeout(wake, deadline.leftMs)
       waiters.add(wake)
     }),
-    wake: () => [...waiters].forEach((wake) => wake())
+    wakeWaiters: () => [...waiters].forEach((wake) => wake())
   }
 }
--- a/src/mysql-proxy/upstreams/procedures.ts
+++ b/src/mysql-proxy/upstreams/procedures.ts
@@ -1,10 +1,7 @@
-/**
- * The procedures an upstream offers for statuses, failover and the request ledger, by driver. Managed databases
- * offer such operations as stored procedures; a driver says what each is called.
- */
+/** Stored procedures that every upstream provides for status queries, failover and the request ledger. */
 import type { Statement, StatementValue } from '../../mysql/types.ts'
 
-/** Operations that every driver must offer, and the names of the procedures in the database. */
+/** Names of the stored procedures by operation. */
 export const PROCEDURES = {
   status: 'worksward_status',
   wait: 'worksward_wait',
@@ -17,15 +14,15 @@
   sweep: 'worksward_sweep'
 } as const
 
-/** An operation that every driver must offer. */
+/** Operation provided by a stored procedure. */
 export type ProcedureName = keyof typeof PROCEDURES
 
 /**
- * Builds a call.
+ * Builds a CALL statement. The arguments are inlined as literals, which saves preparing the statement.
  *
  * @param name - the operation
- * @param values - its arguments
- * @returns the statement; arguments are written as literals, for a call needs no preparation
+ * @param values - arguments of the procedure
+ * @returns the statement
  */
 export function callProcedure (name: ProcedureName, values: Array<string | number> = []): Statement {
   return { sql: `CALL ${PROCEDURES[name]}(${values.map(formatLiteral).join(', ')})` }
--- a/src/mysql-proxy/upstreams/status-channel.ts
+++ b/src/mysql-proxy/upstreams/status-channel.ts
@@ -1,8 +1,6 @@
 /**
- * Asks one upstream for its status. A status that was begun after some moment is what nearly every decision needs:
- * the read index, the place a read or write reached, the age of a replica. Calls that wait at the same time share one
- * question. A second connection waits for the upstream's next change (a long poll) while a request needs one. Owns both
- * connections.
+ * Queries the status of one upstream. Concurrent callers share a query (`shared-query.ts`). While requests wait for a
+ * condition on the status, a second connection long-polls the upstream for changes.
  */
 import { RequestError, describeThrown } from '../../core/errors/index.ts'
 import { pause, type Deadline } from '../../core/time/deadline.ts'
@@ -11,14 +9,14 @@
 import type { RowsAnswer } from '../../mysql/types.ts'
 import { createLazyClient } from './lazy-client.ts'
 import { callProcedure, type ProcedureName } from './procedures.ts'
-import { createSharedQuestion } from './shared-question.ts'
+import { createSharedQuery } from './shared-query.ts'
 import { createStatusWaiters, type StatusCondition } from './status-waiters.ts'
 import { parseStatus, type UpstreamStatus } from './status.ts'
 
-/** A status and when it was asked for. */
+/** Status of an upstream and the time of its query. */
 export interface ObservedStatus {
   status: UpstreamStatus
-  /** When the question was sent, in milliseconds of the monotonic clock. */
+  /** When the query was sent, in milliseconds of the monotonic clock. */
   sentAt: number
 }
 
@@ -26,70 +24,70 @@
 interface StatusChannelOptions {
   access: UpstreamAccess
   dialer: Dialer
-  /** Time one question may take, in milliseconds. */
+  /** Timeout of a query, in milliseconds. */
   timeoutMs: number
-  /** Called with every status received. */
+  /** Called after every received status. */
   onStatus?: (observed: ObservedStatus) => void
-  /** Called with every question that failed. */
+  /** Called after every failed status query. */
   onFailure?: (error: RequestError) => void
 }
 
-/** Asks one upstream. */
+/** Status queries and commands to one upstream. */
 export interface StatusChannel {
-  /** The newest status received. */
+  /** Received status with the latest query time. */
   readonly latest: ObservedStatus | undefined
-  /** Questions sent so far, shared ones counted once. */
-  readonly questions: number
+  /** Number of status queries sent; a shared query counts once. */
+  readonly queriesSent: number
   /**
-   * Asks with a question sent after this call.
+   * Queries the status; the query is sent after this call.
    *
    * @returns the status
-   * @throws RequestError when the upstream does not answer in time
+   * @throws RequestError when the query fails or times out
    */
   fetchStatus: () => Promise<ObservedStatus>
   /**
    * Waits until a status satisfies a condition.
    *
    * @param condition - the condition
-   * @param deadline - when to give up
-   * @returns the status, or undefined when the deadline passed
+   * @param deadline - limits the wait
+   * @returns the status; undefined when the deadline passed or the channel was closed
    */
   waitUntil: (condition: StatusCondition, deadline: Deadline) => Promise<ObservedStatus | undefined>
   /**
-   * Calls a procedure that answers with a status row and whether it was accepted.
+   * Calls a procedure that returns a status row with a trailing column for acceptance.
    *
-   * @param name - the procedure
-   * @param values - its arguments
-   * @returns the status after the call
+   * @param name - the operation
+   * @param values - arguments of the procedure
+   * @returns whether the call was accepted, and the status after it
    */
   command: (name: ProcedureName, values: Array<string | number>) => Promise<CommandResult>
-  /** Closes the connections. */
+  /** Closes the connections and resolves pending waits with undefined. */
   close: () => void
 }
 
-/** What a fencing, promoting or following call returned. */
+/** Result of a procedure that changes the upstream's state, such as `fence`, `promote` or `follow`. */
 interface CommandResult {
   accepted: boolean
   status: UpstreamStatus
 }
 
-/** Time one wait for a change may last, in milliseconds. */
-const WAIT_MS = 1000
-/** Pause before a failed wait is repeated, in milliseconds. */
-const WAIT_RETRY_MS = 20
+/** Maximum duration of one long poll, in milliseconds. */
+const LONG_POLL_MS = 1000
+/** Delay before a failed long poll is retried, in milliseconds. */
+const LONG_POLL_RETRY_MS = 20
 
 /**
- * Creates a channel.
+ * Creates a status channel.
  *
- * @param options - the upstream, and what is called with statuses and failures
- * @returns the channel; it connects when first used
+ * @param options - the upstream, timeout and callbacks
+ * @returns the channel; it connects on first use
  */
 export function createStatusChannel (options: StatusChannelOptions): StatusChannel {
   const { access, dialer, timeoutMs } = options
   const waiters = createStatusWaiters<ObservedStatus>()
-  const asking = createLazyClient(access, dialer, timeoutMs)
-  const watching = createLazyClient(access, dialer, timeoutMs)
-  const state = { closed: false, watching: false, questions: 0 }
+  const queryClient = createLazyClient(access, dialer, timeoutMs)
+  const pollClient = createLazyClient(access, dialer, timeoutMs)
+  const state = { closed: false, polling: false, queriesSent: 0 }
   let latest: ObservedStatus | undefined
 
   const record = (status: UpstreamStatus, sentAt: number): ObservedStatus => {
@@ -98,14 +96,14 @@
       latest = observed
     }
     options.onStatus?.(observed)
-    waiters.offer(observed)
+    waiters.notify(observed)
     return observed
   }
 
-  const ask = async (): Promise<ObservedStatus> => {
-    state.questions++
+  const query = async (): Promise<ObservedStatus> => {
+    state.queriesSent++
     try {
-      const client = await asking.get()
+      const client = await queryClient.get()
       const sentAt = performance.now()
       const answer = await client.run(callProcedure('status'), timeoutMs, 'not-run')
       return record(parseStatus(answer as RowsAnswer), sentAt)
@@ -116,41 +114,41 @@
     }
   }
 
-  const waitForChange = async (): Promise<void> => {
-    const client = await watching.get()
+  const longPoll = async (): Promise<void> => {
+    const client = await pollClient.get()
     const { term = 0, logTerm = 0, position = 0 } = latest?.status ?? {}
     const sentAt = performance.now()
-    const wait = callProcedure('wait', [term, logTerm, position, WAIT_MS])
-    const answer = await client.run(wait, WAIT_MS + timeoutMs, 'not-run')
+    const call = callProcedure('wait', [term, logTerm, position, LONG_POLL_MS])
+    const answer = await client.run(call, LONG_POLL_MS + timeoutMs, 'not-run')
     record(parseStatus(answer as RowsAnswer), sentAt)
   }
 
-  const watch = async (): Promise<void> => {
-    if (state.watching) {
+  const pollWhileWaiting = async (): Promise<void> => {
+    if (state.polling) {
       return
     }
-    state.watching = true
+    state.polling = true
     while (waiters.size > 0 && !state.closed) {
-      // A failed wait is repeated until its waiters give up; status questions report that the upstream is silent.
-      await waitForChange().catch(async () => await pause(WAIT_RETRY_MS))
+      // Failures are not reported here: status queries detect that the upstream is unreachable.
+      await longPoll().catch(async () => await pause(LONG_POLL_RETRY_MS))
     }
-    state.watching = false
+    state.polling = false
   }
 
   return {
     get latest () { return latest },
-    get questions () { return state.questions },
-    fetchStatus: createSharedQuestion(ask),
+    get queriesSent () { return state.queriesSent },
+    fetchStatus: createSharedQuery(query),
     waitUntil: async (condition, deadline) => {
       if (latest !== undefined && condition(latest.status)) {
         return latest
       }
       const waiting = waiters.wait(condition, deadline)
-      void watch()
+      void pollWhileWaiting()
       return await waiting
     },
     command: async (name, values) => {
-      const client = await asking.get()
+      const client = await queryClient.get()
       const sentAt = performance.now()
       const answer = await client.run(callProcedure(name, values), timeoutMs, 'may-have-run') as RowsAnswer
       const accepted = answer.rows[0]?.at(-1)?.toString() === '1'
@@ -159,8 +157,8 @@
     close: () => {
       state.closed = true
       waiters.close()
-      asking.close()
-      watching.close()
+      queryClient.close()
+      pollClient.close()
     }
   }
 }
--- a/src/mysql-proxy/upstreams/status-waiters.ts
+++ b/src/mysql-proxy/upstreams/status-waiters.ts
@@ -1,37 +1,38 @@
-/** Requests that wait until a status of an upstream satisfies their condition. Owns the waiting requests. */
+/** Requests that wait until the status of an upstream satisfies a condition. */
 import type { Deadline } from '../../core/time/deadline.ts'
 import type { UpstreamStatus } from './status.ts'
 
-/** A condition on a status. */
+/** Condition on an upstream's status. */
 export type StatusCondition = (status: UpstreamStatus) => boolean
 
-/** A waiting request. */
+/** One waiting request. */
 interface Waiter<Observed> {
   condition: StatusCondition
   resolve: (observed: Observed | undefined) => void
 }
 
-/** Waiting requests. */
+/** Set of requests that wait for a status. */
 interface StatusWaiters<Observed> {
-  /** Number of requests that wait. */
+  /** Number of waiting requests. */
   readonly size: number
   /**
    * Waits until a status satisfies a condition.
    *
    * @param condition - the condition
-   * @param deadline - when to give up
+   * @param deadline - limits the wait
    * @returns the status; undefined when the deadline passed or the waiters were closed
    */
   wait: (condition: StatusCondition, deadline: Deadline) => Promise<Observed | undefined>
-  /** Lets those go on whose condition a new status satisfies. */
-  offer: (observed: Observed) => void
+  /** Resolves the requests whose condition the new status satisfies. */
+  notify: (observed: Observed) => void
+  /** Resolves all waiting requests with undefined. */
   close: () => void
 }
 
 /**
- * Creates waiters; none waits yet.
+ * Creates an empty set.
  *
- * @returns the waiters
+ * @returns the set
  */
 export function createStatusWaiters<Observed extends { status: UpstreamStatus }> (): StatusWaiters<Observed> {
   const waiters = new Set<Waiter<Observed>>()
@@ -51,7 +52,7 @@
       }, deadline.leftMs)
       waiters.add(waiter)
     }),
-    offer: (observed) => {
+    notify: (observed) => {
       for (const waiter of waiters) {
         if (waiter.condition(observed.status)) {
           waiters.delete(waiter)
--- a/src/mysql-proxy/upstreams/status.ts
+++ b/src/mysql-proxy/upstreams/status.ts
@@ -1,25 +1,25 @@
-/** The status that an upstream reports of itself. */
+/** Status that an upstream reports about itself. */
 import * as z from 'zod'
 import { readNamedRows } from '../../mysql/named-rows.ts'
 import type { RowsAnswer } from '../../mysql/types.ts'
 import type { LogPosition } from '../../positions/position.ts'
 
-/** The columns of a status row. */
+/** Columns of a status row. */
 const upstreamStatusSchema = z.object({
-  /** Term the upstream leads or follows. */
+  /** Term in which the upstream is primary or replica. */
   term: z.coerce.number(),
-  /** Highest term it has been fenced with; it neither follows nor leads below it. */
+  /** Highest term for which it has been fenced; it accepts no role in a lower term. */
   fencedTerm: z.coerce.number(),
   /** Term of the last record of its log. */
   logTerm: z.coerce.number(),
   /** Position of the last record of its log. */
   position: z.coerce.number(),
   role: z.enum(['primary', 'replica']),
-  /** Name of the upstream it follows, or its own. */
+  /** Name of the primary it replicates from; its own name if it is the primary. */
   primary: z.string(),
-  /** Changes whenever the database behind the address is another one. */
+  /** Identity of the database; differs after the database at the address has been replaced. */
   incarnation: z.string(),
-  /** Whether it is about to leave and wants no new work. */
+  /** Whether it is about to shut down and should receive no new work. */
   leaving: z.coerce.number().transform((flag) => flag !== 0)
 })
 
@@ -27,9 +27,9 @@
 export type UpstreamStatus = z.infer<typeof upstreamStatusSchema>
 
 /**
- * Reads a status row.
+ * Parses a status row.
  *
- * @param answer - answer of a status procedure
+ * @param answer - result of a procedure that returns a status row
  * @returns the status
  */
 export function parseStatus (answer: RowsAnswer): UpstreamStatus {
@@ -37,9 +37,9 @@
 }
 
 /**
- * Returns where the upstream's log ends.
+ * Returns the end of an upstream's log.
  *
- * @param status - its status
+ * @param status - status of the upstream
  * @returns term and position of the last record
  */
 export function logEnd (status: UpstreamStatus): LogPosition {
--- a/test/mysql-proxy/upstreams/decisions.test.ts
+++ b/test/mysql-proxy/upstreams/decisions.test.ts
@@ -7,37 +7,37 @@
 import { createDataAge } from '../../../src/mysql-proxy/upstreams/data-age.ts'
 import { Deadline } from '../../../src/core/time/deadline.ts'
 
-describe('decisions over time', () => {
+describe('time-dependent decisions', () => {
   let clock: Clock
   beforeEach(() => { clock = fakeTimers.install() })
   afterEach(() => { clock.uninstall() })
 
-  it('counts the age of a replica from the sending of the probe whose position it has reached', () => {
+  it('counts the age of a replica from the sending time of the latest probe whose position it has reached', () => {
     const age = createDataAge()
-    age.primarySeen(performance.now(), { term: 1, position: 10 })
+    age.recordPrimary(performance.now(), { term: 1, position: 10 })
     clock.tick(100)
-    age.primarySeen(performance.now(), { term: 1, position: 20 })
-    age.replicaSeen('r', { term: 1, position: 15 })
+    age.recordPrimary(performance.now(), { term: 1, position: 20 })
+    age.recordReplica('r', { term: 1, position: 15 })
     clock.tick(50)
     expect(age.ageMs('r')).toEqual(150)
-    age.replicaSeen('r', { term: 1, position: 20 })
+    age.recordReplica('r', { term: 1, position: 20 })
     expect(age.ageMs('r')).toEqual(50)
     expect(age.ageMs('unknown')).toEqual(Infinity)
   })
 
-  it('lets a replica of an older term age until it follows the new one', () => {
+  it('increases the age of a replica in an older term until it reaches a position of the new term', () => {
     const age = createDataAge()
-    age.primarySeen(performance.now(), { term: 1, position: 10 })
-    age.replicaSeen('r', { term: 1, position: 10 })
+    age.recordPrimary(performance.now(), { term: 1, position: 10 })
+    age.recordReplica('r', { term: 1, position: 10 })
     clock.tick(30)
-    age.primarySeen(performance.now(), { term: 2, position: 11 })
+    age.recordPrimary(performance.now(), { term: 2, position: 11 })
     clock.tick(10)
     expect(age.ageMs('r')).toEqual(40)
-    age.replicaSeen('r', { term: 2, position: 11 })
+    age.recordReplica('r', { term: 2, position: 11 })
     expect(age.ageMs('r')).toEqual(10)
   })
 
-  it('forgets observations of a failure that nobody repeats', () => {
+  it('expires observations of a failure that are not repeated', () => {
     const suspicion = createSuspicion()
     suspicion.observe({ upstream: 'u', term: 1, failureDomain: 'a' })
     suspicion.observe({ upstream: 'u', term: 1, failureDomain: 'b' })
@@ -47,15 +47,15 @@
     expect(suspicion.domains('u', 1)).toEqual(0)
   })
 
-  it('counts a failure domain once, however often it observes', () => {
+  it('counts a failure domain once, regardless of the number of its observations', () => {
     const suspicion = createSuspicion()
-    for (let turn = 0; turn < 5; turn++) {
+    for (let count = 0; count < 5; count++) {
       suspicion.observe({ upstream: 'u', term: 1, failureDomain: 'a' })
     }
     expect(suspicion.domains('u', 1)).toEqual(1)
   })
 
-  it('fails at a passed deadline with the verdict of the moment', async () => {
+  it('rejects with the deadline and the stage when the deadline passes', async () => {
     const deadline = new Deadline(100)
     const racing = deadline.race(new Promise<never>(() => {}), 'may-have-run', 'waiting')
     clock.tick(100)
@@ -64,35 +64,35 @@
 })
 
 describe('createConcurrencyLimit', () => {
-  const drive = (latencyMs: number, samples: number, limit: ReturnType<typeof createConcurrencyLimit>): void => {
-    for (let index = 0; index < samples; index++) {
+  const recordSamples = (latencyMs: number, count: number, limit: ReturnType<typeof createConcurrencyLimit>): void => {
+    for (let index = 0; index < count; index++) {
       limit.record(latencyMs)
     }
   }
 
-  it('grows while statements take as long as the fastest, and shrinks when they queue', () => {
+  it('grows while the latency is near the lowest, and shrinks when it rises', () => {
     const limit = createConcurrencyLimit({ initial: 3, maximum: () => 8 })
-    drive(5, 2000, limit)
+    recordSamples(5, 2000, limit)
     expect(limit.current).toEqual(8)
-    drive(60, 200, limit)
+    recordSamples(60, 200, limit)
     expect(limit.current < 4).toEqual(true)
-    drive(5, 4000, limit)
+    recordSamples(5, 4000, limit)
     expect(limit.current).toEqual(8)
   })
 
-  it('does not take one lucky sample for the fastest latency', () => {
+  it('ignores a single outlier when it determines the lowest latency', () => {
     const limit = createConcurrencyLimit({ initial: 3, maximum: () => 8 })
     limit.record(0.05)
-    drive(2, 2000, limit)
+    recordSamples(2, 2000, limit)
     expect(limit.current).toEqual(8)
   })
 })
 
 describe('createRetryBudget', () => {
-  it('grants no more retries than a part of the requests, once what was saved is spent', () => {
+  it('grants at most 20 retries per 100 requests once the initial budget is spent', () => {
     const budget = createRetryBudget()
     while (budget.spend()) {
-      // Spends what was saved.
+      // Spends the initial budget.
     }
     let granted = 0
     for (let request = 0; request < 100; request++) {
--- a/test/mysql-proxy/upstreams/slow-upstream.test.ts
+++ b/test/mysql-proxy/upstreams/slow-upstream.test.ts
@@ -1,8 +1,6 @@
 /**
- * A statement is not started with less than twice the mean latency left. After an upstream had been slow for a while
- * the mean stayed high, all statements were refused for it, and none ran that could have lowered it: the home refused
- * the upstream's work until it was restarted. `state` showed `running=0`, `queued=0` and the same `meanMs` for good.
- * Now, when none has run for a while, one statement at a time is started all the same.
+ * Guards against a pool that keeps refusing every statement after its upstream was slow, because no statement runs that
+ * could update the mean latency.
  */
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
@@ -13,11 +11,12 @@
 import { createConnectionPool, type ConnectionPool } from '../../../src/mysql-proxy/upstreams/connection-pool.ts'
 import { GROUP, startTestDeployment, type TestDeployment } from '../../fixtures/deployment.ts'
 
-/** Time of a statement while the upstream is slow, and of each request, in milliseconds. */
+/** Duration of a statement while the upstream is slow, in milliseconds. */
 const SLOW_MS = 60
+/** Deadline of each request, in milliseconds. */
 const DEADLINE_MS = 100
 
-describe('a pool whose upstream was slow for a while', () => {
+describe('a connection pool whose upstream was slow', () => {
   let deployment: TestDeployment
   let pool: ConnectionPool
   before(async () => {
@@ -28,55 +27,55 @@
       access: { name, address: '127.0.0.1', port, ...EMBEDDED_ACCOUNT, database: GROUP },
       dialer: createDialer(),
       share: 4,
-      slots: 2,
-      queue: 10
+      initialConcurrency: 2,
+      queueCapacity: 10
     })
   })
   after(async () => {
     pool.close()
     await deployment.close()
   })
-  const requestNow = () => ({ access: 'read', priority: 5, deadline: new Deadline(DEADLINE_MS) } as const)
-  const run = async (takesMs: number): Promise<'done' | 'refused'> => {
+  const createRequest = () => ({ access: 'read', priority: 5, deadline: new Deadline(DEADLINE_MS) } as const)
+  const run = async (durationMs: number): Promise<'done' | 'refused'> => {
     try {
-      await pool.run(requestNow(), async () => await pause(takesMs))
+      await pool.run(createRequest(), async () => await pause(durationMs))
       return 'done'
     } catch (thrown) {
       expect((thrown as RequestError).entry).toEqual('Overloaded')
       return 'refused'
     }
   }
-  const runUntil = async (outcome: 'done' | 'refused', takesMs: number): Promise<void> => {
-    while (await run(takesMs) !== outcome) {
+  const runUntil = async (outcome: 'done' | 'refused', durationMs: number): Promise<void> => {
+    while (await run(durationMs) !== outcome) {
       await pause(10)
     }
   }
 
-  it('refuses at once what it has no time for', async () => {
+  it('refuses a statement immediately when too little time remains', async () => {
     await runUntil('refused', SLOW_MS)
     expect(pool.state().running).toEqual(0)
   })
 
-  it('starts one statement at a time to see whether the upstream is still slow', async () => {
+  it('starts one statement at a time while the upstream stays slow', async () => {
     await runUntil('refused', SLOW_MS)
-    const running = { now: 0, most: 0 }
-    const measure = async (): Promise<void> => {
-      running.now++
-      running.most = Math.max(running.most, running.now)
+    const running = { current: 0, maximum: 0 }
+    const work = async (): Promise<void> => {
+      running.current++
+      running.maximum = Math.max(running.maximum, running.current)
       await pause(SLOW_MS)
-      running.now--
+      running.current--
     }
     let started = 0
     while (started < 2) {
       const outcomes = await Promise.allSettled(Array.from({ length: 6 }, async () =>
-        await pool.run(requestNow(), measure)))
+        await pool.run(createRequest(), work)))
       started += outcomes.filter(({ status }) => status === 'fulfilled').length
       await pause(10)
     }
-    expect(running.most).toEqual(1)
+    expect(running.maximum).toEqual(1)
   })
 
-  it('serves again once it is fast', async () => {
+  it('serves statements again once the upstream is fast', async () => {
     await runUntil('refused', SLOW_MS)
     await runUntil('done', 1)
     expect(await run(1)).toEqual('done')
