--- a/src/mysql-proxy/routing/acknowledgement.ts
+++ b/src/mysql-proxy/routing/acknowledgement.ts
@@ -41,7 +41,7 @@
 > = {
   replicated: async (view, position, source, deadline) => await view.waitForMajority(position, source, deadline),
   confirmed: async (view, position, _source, deadline) => {
-    const answers = await view.askMajority(deadline)
+    const answers = await view.queryMajority(deadline)
     return answers.every(({ status }) => status.term <= position.term && status.fencedTerm <= position.term)
   }
 }
--- a/src/mysql-proxy/routing/primary-work.ts
+++ b/src/mysql-proxy/routing/primary-work.ts
@@ -58,7 +58,7 @@
     }
     if (isReadOnlyRefusal(thrown)) {
       // Refreshes the primary's status. A failure marks it unreachable; the caller still receives the refusal.
-      await target.view.channel.fresh().catch(() => {})
+      await target.view.channel.fetchStatus().catch(() => {})
     }
     throw thrown
   }
--- a/src/mysql-proxy/routing/read-route.ts
+++ b/src/mysql-proxy/routing/read-route.ts
@@ -96,7 +96,7 @@
 
 function eligibleReplicas ({ view, floor, kind }: Pick<ResolvedRead, 'view' | 'floor' | 'kind'>): string[] {
   return view.replicaNames.filter((name) => {
-    const state = { isAvailable: view.takesWork(name), end: view.knownEnd(name), ageMs: view.age.ageMs(name) }
+    const state = { isAvailable: view.isAvailable(name), end: view.lastKnownLogEnd(name), ageMs: view.age.ageMs(name) }
     return isEligible(state, floor, kind.maximumAgeMs)
   })
 }
@@ -127,14 +127,14 @@
 async function waitForReplica (options: ResolvedRead): Promise<string | undefined> {
   const { view, floor, kind, group, deadline } = options
   const catchUpDeadline = new Deadline(catchUpWaitMs(group.limits.catchUpMs, deadline.leftMs))
-  const candidates = view.replicaNames.filter((name) => view.takesWork(name))
+  const candidates = view.replicaNames.filter((name) => view.isAvailable(name))
   const waits = candidates.map(async (name) => {
     const { channel } = view.upstreams.get(name)!
     const reachedStatus = await channel.waitUntil((status) => meetsFloor(logEnd(status), floor), catchUpDeadline)
     const isTooOld = (): boolean => view.age.ageMs(name) > kind.maximumAgeMs
     if (reachedStatus !== undefined && isTooOld()) {
-      await view.usablePrimary?.channel.fresh()
-      const target = view.knownEnd(view.leadership.primary)
+      await view.usablePrimary?.channel.fetchStatus()
+      const target = view.lastKnownLogEnd(view.leadership.primary)
       await channel.waitUntil((status) => meetsFloor(logEnd(status), target), catchUpDeadline)
     }
     if (reachedStatus === undefined || isTooOld()) {
@@ -147,7 +147,7 @@
 }
 
 async function choosePrimary ({ view, deadline }: ResolvedRead, reason: string): Promise<ReadChoice> {
-  const primary = await view.primary(deadline)
+  const primary = await view.waitForPrimary(deadline)
   return { upstream: primary.view.declaration.name, fromReplica: false, reason }
 }
 
@@ -164,7 +164,7 @@
   if (view.majority <= UPSTREAMS_WITH_REPLICA_DATA) {
     return { ...reply, floor: { ...floor, seenOn: [{ upstream, incarnation }] } }
   }
-  const { status } = await deadline.race(channel.fresh(), 'not-run', 'confirming a read')
+  const { status } = await deadline.race(channel.fetchStatus(), 'not-run', 'confirming a read')
   return { ...reply, floor: await confirmOnMajority(options, view.leadership.primary, logEnd(status)) }
 }
 
@@ -210,6 +210,6 @@
 
 function refreshDataAges ({ view, kind }: ReadOptions): void {
   if (performance.now() - view.age.newestProbeAt > refreshIntervalMs(kind.maximumAgeMs)) {
-    view.refresh()
+    view.refreshInBackground()
   }
 }
--- a/src/mysql-proxy/routing/session-floor.ts
+++ b/src/mysql-proxy/routing/session-floor.ts
@@ -17,7 +17,7 @@
  * @returns the log position
  */
 export async function findReadIndex (view: GroupView, deadline: Deadline): Promise<LogPosition> {
-  const answers = await view.askMajority(deadline)
+  const answers = await view.queryMajority(deadline)
   return sortedLogEnds(answers)[view.majority - 1] ?? LOG_START
 }
 
@@ -42,7 +42,7 @@
   const upstreamView = view.upstreams.get(upstream)
   if (upstreamView?.reachable === true) {
     try {
-      const { status } = await deadline.race(upstreamView.channel.fresh(), 'not-run', 'finding what a session has seen')
+      const { status } = await deadline.race(upstreamView.channel.fetchStatus(), 'not-run', 'finding what a session has seen')
       if (status.incarnation === incarnation) {
         return logEnd(status)
       }
@@ -50,7 +50,7 @@
       // The upstream doesn't answer: falls back to a majority, whose highest log end covers what the session read.
     }
   }
-  return sortedLogEnds(await view.askMajority(deadline)).at(-1) ?? LOG_START
+  return sortedLogEnds(await view.queryMajority(deadline)).at(-1) ?? LOG_START
 }
 
 /** Lists the log ends of upstreams in ascending order. */
--- a/src/mysql-proxy/routing/settle.ts
+++ b/src/mysql-proxy/routing/settle.ts
@@ -34,9 +34,9 @@
   const { view, deadline } = options
   while (!deadline.passed) {
     try {
-      const target = await view.primary(deadline)
+      const target = await view.waitForPrimary(deadline)
       const record = await contestKey(options, target, attempt)
-      const { status } = await target.view.channel.fresh()
+      const { status } = await target.view.channel.fetchStatus()
       await waitForAcknowledgement(options, target, logEnd(status))
       return replyFromRecord(record, attempt, target, logEnd(status), view.name)
     } catch (thrown) {
--- a/src/mysql-proxy/routing/transactions.ts
+++ b/src/mysql-proxy/routing/transactions.ts
@@ -79,7 +79,7 @@
       throw transactionLost('its primary was superseded')
     }
     // Refreshes the old primary's status. A failure marks it unreachable, and the begin waits for a new primary.
-    await target.view.channel.fresh().catch(() => {})
+    await target.view.channel.fetchStatus().catch(() => {})
     await beginTransaction(group, { id, service }, deadline)
     return await runStatement(group, id, statement, deadline)
   }
--- a/src/mysql-proxy/routing/write-route.ts
+++ b/src/mysql-proxy/routing/write-route.ts
@@ -59,7 +59,7 @@
   let mayHaveRun = false
   for (;;) {
     try {
-      const target = await view.primary(deadline)
+      const target = await view.waitForPrimary(deadline)
       const committed = await runUnkeyedWrite(options, target)
       await waitForAcknowledgement(options, target, committed.position)
       return toWriteReply(committed, target)
@@ -93,7 +93,7 @@
 }
 
 async function attemptKeyedWrite (options: WriteOptions, attempt: KeyedAttempt): Promise<HomeReply> {
-  const target = await options.view.primary(options.deadline)
+  const target = await options.view.waitForPrimary(options.deadline)
   try {
     const committed = await runKeyedWrite(options, target, attempt)
     await waitForAcknowledgement(options, target, committed.position)
