--- a/src/entry/pools/align-connection.ts
+++ b/src/entry/pools/align-connection.ts
@@ -30,7 +30,7 @@
  * @param wanted - values of the session
  * @throws RequestError with verdict `not-run`; the connection must be discarded
  */
-export async function alignValues (lease: ConnectionLease, wanted: ReadonlyMap<string, string>): Promise<void> {
+export async function applySessionValues (lease: ConnectionLease, wanted: ReadonlyMap<string, string>): Promise<void> {
   if ([...lease.values.keys()].some((name) => !wanted.has(name))) {
     await runOwn(lease, { type: 'reset' })
     lease.values.clear()
@@ -53,7 +53,7 @@
  * @returns its name there
  * @throws RequestError with verdict `not-run`; the connection must be discarded
  */
-export async function prepareOn (lease: ConnectionLease, prepared: PreparedShape): Promise<string> {
+export async function ensurePrepared (lease: ConnectionLease, prepared: PreparedShape): Promise<string> {
   const key = `${prepared.access} ${prepared.shape}`
   const existing = lease.prepared.get(key)
   if (existing !== undefined) {
--- a/src/entry/pools/index.ts
+++ b/src/entry/pools/index.ts
@@ -3,17 +3,17 @@
 import type { KnownUpstream } from '../directory/index.ts'
 import { connectionLimits, type ConnectionLimits } from './connection-limits.ts'
 import { createUpstreamQuestions, type UpstreamQuestions } from './upstream-questions.ts'
-import { createUsedUpstreams, describeUsedUpstreams, type UsedUpstream } from './used-upstreams.ts'
+import { createUsedUpstreams, describeUsedUpstreams, type UpstreamResources } from './used-upstreams.ts'
 
-export { alignValues, prepareOn } from './align-connection.ts'
+export { applySessionValues, ensurePrepared } from './align-connection.ts'
 export type { ConnectionLease } from './types.ts'
-export type { UsedUpstream } from './used-upstreams.ts'
+export type { UpstreamResources } from './used-upstreams.ts'
 export { SILENCE_MS } from './upstream-health.ts'
 
 /** Service of the plug-in. */
 export interface Pools extends UpstreamQuestions {
   /** Returns the pool and the health of an upstream that is in the directory. */
-  of: (upstream: KnownUpstream) => UsedUpstream
+  of: (upstream: KnownUpstream) => UpstreamResources
 }
 
 declare module '../../core/kernel/index.ts' {
--- a/src/entry/pools/upstream-health.ts
+++ b/src/entry/pools/upstream-health.ts
@@ -43,21 +43,21 @@
   /** Expected time of a statement, in milliseconds. */
   readonly latencyMs: number
   /** Furthest position of its log that any answer has carried. */
-  readonly reached: LogPosition | undefined
+  readonly highestPosition: LogPosition | undefined
   /** Records the position of an answer, a refusal's too. */
-  reachedPosition: (position: LogPosition) => void
-  answered: () => void
+  recordPosition: (position: LogPosition) => void
+  recordAnswer: () => void
   /** Records that it was asked something. */
-  asked: () => void
+  recordRequestStart: () => void
   /** Records that a question has ended, with or without an answer. */
-  ended: () => void
+  recordRequestEnd: () => void
   /** Records the time of a statement, in milliseconds. */
   recordLatency: (latencyMs: number) => void
-  failed: (fault: UpstreamFault) => void
+  recordFailure: (fault: UpstreamFault) => void
   /** Records that it could not be reached in the time of a request, which says less than a failure. */
-  notReachedInTime: () => void
-  lagged: () => void
-  caughtUp: () => void
+  recordConnectionTimeout: () => void
+  recordLag: () => void
+  recordCaughtUp: () => void
 }
 
 /**
@@ -91,26 +91,26 @@
     get avoided () { return performance.now() < avoidUntil },
     get lagging () { return performance.now() < lagUntil },
     get latencyMs () { return decayed() },
-    get reached () { return reached },
-    reachedPosition: (position) => { reached = reached === undefined ? position : laterPosition(reached, position) },
-    answered: () => {
+    get highestPosition () { return reached },
+    recordPosition: (position) => { reached = reached === undefined ? position : laterPosition(reached, position) },
+    recordAnswer: () => {
       lastAnswerAt = performance.now()
       awaitedSince = lastAnswerAt
       unreachableSince = undefined
       avoidUntil = -Infinity
       avoidMs = AVOID_MS.first
     },
-    asked: () => {
+    recordRequestStart: () => {
       awaitedSince = questions === 0 ? performance.now() : awaitedSince
       questions++
     },
-    ended: () => { questions-- },
+    recordRequestEnd: () => { questions-- },
     recordLatency: (latencyMs) => {
       const before = decayed()
       latency = before + SAMPLE_WEIGHT * (latencyMs - before)
       measuredAt = performance.now()
     },
-    failed: (fault) => {
+    recordFailure: (fault) => {
       if (fault === 'broken') {
         return
       }
@@ -118,12 +118,12 @@
       avoidUntil = performance.now() + avoidMs
       avoidMs = Math.min(AVOID_MS.greatest, avoidMs * 2)
     },
-    notReachedInTime: () => { avoidUntil = Math.max(avoidUntil, performance.now() + AVOID_MS.first) },
-    lagged: () => {
+    recordConnectionTimeout: () => { avoidUntil = Math.max(avoidUntil, performance.now() + AVOID_MS.first) },
+    recordLag: () => {
       lagUntil = performance.now() + lagMs
       lagMs = Math.min(LAG_MS.greatest, lagMs * 2)
     },
-    caughtUp: () => {
+    recordCaughtUp: () => {
       lagUntil = -Infinity
       lagMs = LAG_MS.first
     }
--- a/src/entry/pools/upstream-questions.ts
+++ b/src/entry/pools/upstream-questions.ts
@@ -63,10 +63,10 @@
     try {
       const report = await within(question(connection), timeoutMs)
       if (report === TIMED_OUT) {
-        health.failed('silent')
+        health.recordFailure('silent')
         return undefined
       }
-      health.answered()
+      health.recordAnswer()
       return report
     } finally {
       connection.close()
@@ -74,7 +74,7 @@
   } catch (thrown) {
     logger.log('info', 'upstream.no-report', { upstream, group, reason: describeThrown(thrown) })
     // One that has no room for the question is there: a primary must not be replaced for having much to do.
-    faultOf(thrown) === undefined ? health.answered() : health.failed('refused')
+    faultOf(thrown) === undefined ? health.recordAnswer() : health.recordFailure('refused')
     return undefined
   }
 }
--- a/src/entry/pools/used-upstreams.ts
+++ b/src/entry/pools/used-upstreams.ts
@@ -13,7 +13,7 @@
 import { createUpstreamPool, type UpstreamPool } from './upstream-pool.ts'
 
 /** An upstream as this host uses it. */
-export interface UsedUpstream {
+export interface UpstreamResources {
   pool: UpstreamPool
   /** Lets statements go there a few at a time. */
   queue: StatementQueue
@@ -33,11 +33,11 @@
 /** Upstreams that this host uses. */
 interface UsedUpstreams {
   /** Returns what this host holds of an upstream; created when it holds nothing yet. */
-  of: (upstream: KnownUpstream) => UsedUpstream
+  of: (upstream: KnownUpstream) => UpstreamResources
   /** Closes the connections to an upstream and drops what is known of it. */
   forget: (name: string) => void
   /** The upstreams in use, by name. */
-  all: ReadonlyMap<string, UsedUpstream>
+  all: ReadonlyMap<string, UpstreamResources>
 }
 
 /**
@@ -47,7 +47,7 @@
  * @returns none yet
  */
 export function createUsedUpstreams (options: UsedUpstreamsOptions): UsedUpstreams {
-  const used = new Map<string, UsedUpstream>()
+  const used = new Map<string, UpstreamResources>()
   return {
     of: (upstream) => {
       const known = used.get(upstream.upstream) ?? createUsedUpstream(upstream, options)
@@ -64,7 +64,7 @@
 
 function createUsedUpstream (
   known: KnownUpstream, { port, logger, limitsOf, homesOf }: UsedUpstreamsOptions
-): UsedUpstream {
+): UpstreamResources {
   const { upstream, group, endpoint } = known
   const health = createUpstreamHealth()
   const pool = createUpstreamPool({
@@ -86,13 +86,13 @@
       if (health.unreachableSince !== undefined) {
         logger.log('info', 'upstream.regained', of)
       }
-      health.answered()
+      health.recordAnswer()
     },
     onFault: (fault, reason) => {
       if (health.unreachableSince === undefined && fault !== 'broken') {
         logger.log('warn', 'upstream.unreachable', { ...of, fault, reason })
       }
-      health.failed(fault)
+      health.recordFailure(fault)
     }
   }
 }
@@ -103,7 +103,7 @@
  * @param all - the upstreams in use
  * @returns the state of each, by name
  */
-export function describeUsedUpstreams (all: ReadonlyMap<string, UsedUpstream>): Record<string, object> {
+export function describeUsedUpstreams (all: ReadonlyMap<string, UpstreamResources>): Record<string, object> {
   return Object.fromEntries([...all].map(([name, { pool, queue, health }]) => [name, {
     group: pool.target.group,
     open: pool.size,
--- a/src/entry/requests/acquire-connection.ts
+++ b/src/entry/requests/acquire-connection.ts
@@ -1,5 +1,5 @@
 /** Acquires an execution slot and a pooled connection at an upstream. `wait-rules.ts` bounds the wait. */
-import type { ConnectionLease, UsedUpstream } from '../pools/index.ts'
+import type { ConnectionLease, UpstreamResources } from '../pools/index.ts'
 import type { EntryContext, RequestScope } from './types.ts'
 import { connectionWaitMs } from './wait-rules.ts'
 
@@ -22,7 +22,7 @@
  */
 export async function acquireConnection (
   { metrics }: Pick<EntryContext, 'metrics'>, { organisation, values, priority, costMs, softDeadline }: RequestScope,
-  { pool, queue }: UsedUpstream, maximumWaitMs: number
+  { pool, queue }: UpstreamResources, maximumWaitMs: number
 ): Promise<AcquiredConnection> {
   const startedAt = performance.now()
   const waitMs = connectionWaitMs(maximumWaitMs, softDeadline - startedAt)
--- a/src/entry/requests/choose-upstream.ts
+++ b/src/entry/requests/choose-upstream.ts
@@ -125,7 +125,7 @@
     throughHome: home !== undefined,
     hasRoom: pool.hasRoom,
     hasConnections: pool.size > 0,
-    hasReachedPosition: health.reached !== undefined && comparePositions(health.reached, position) >= 0,
+    hasReachedPosition: health.highestPosition !== undefined && comparePositions(health.highestPosition, position) >= 0,
     lagging: health.lagging,
     avoided: health.avoided
   }
--- a/src/entry/requests/forwarding-executor.ts
+++ b/src/entry/requests/forwarding-executor.ts
@@ -2,7 +2,7 @@
 import { toRequestError } from '../../core/errors/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import { FORWARDING_GRACE_MS, type HomeReply, type ForwardRequest } from '../homes/index.ts'
-import type { UsedUpstream } from '../pools/index.ts'
+import type { UpstreamResources } from '../pools/index.ts'
 import type { KnownHost } from '../registry/index.ts'
 import type { LogPosition } from '../../positions/position.ts'
 import { encodeStep, lostAnswerError, toTimedAnswer } from './forwarded-steps.ts'
@@ -14,7 +14,7 @@
 interface ForwardingOptions {
   home: KnownHost
   target: KnownUpstream
-  resources: UsedUpstream
+  resources: UpstreamResources
   /** Position that the upstream's log must have reached. */
   after?: LogPosition
   /** Epoch in which the upstream is the primary; set only if the statements require the primary. */
@@ -53,7 +53,7 @@
       const timeoutMs = scope.deadline.leftMs + FORWARDING_GRACE_MS
       return await avoidOnError(scope, async () => {
         const reply = await homes.forward(home, { upstream, type, body, timeoutMs, onLateReply })
-        resources.health.answered()
+        resources.health.recordAnswer()
         resources.health.recordLatency(performance.now() - sentAt)
         return reply
       })
--- a/src/entry/requests/local-executor.ts
+++ b/src/entry/requests/local-executor.ts
@@ -3,7 +3,7 @@
 import { TIMED_OUT, within } from '../../core/time/deadline.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import type { PrimaryLease } from '../leadership/index.ts'
-import type { ConnectionLease, UsedUpstream } from '../pools/index.ts'
+import type { ConnectionLease, UpstreamResources } from '../pools/index.ts'
 import type { UpstreamCommand } from '../ports/index.ts'
 import type { LogPosition } from '../../positions/position.ts'
 import { runCommand, runStatement, type RunOptions, type TimedAnswer } from './run-statement.ts'
@@ -19,7 +19,7 @@
 /** A leased connection to an upstream, and the conditions under which statements may be sent on it. */
 interface LeasedUpstream {
   target: KnownUpstream
-  resources: UsedUpstream
+  resources: UpstreamResources
   lease: ConnectionLease
   /** Frees the execution slot at the upstream. */
   releaseSlot: () => void
--- a/src/entry/requests/reads.ts
+++ b/src/entry/requests/reads.ts
@@ -100,7 +100,7 @@
     } catch (thrown) {
       if (thrown instanceof RequestError && thrown.entry === 'ConnectionLost') {
         // Connection attempts time out later than reads do; until then every read would try this upstream.
-        resources.health.notReachedInTime()
+        resources.health.recordConnectionTimeout()
       }
       scope.deadline.check('not-run', 'looking for an upstream')
       context.logger.log('info', 'read.upstream-unavailable', {
--- a/src/entry/requests/record-answer.ts
+++ b/src/entry/requests/record-answer.ts
@@ -34,11 +34,11 @@
  */
 export function recordLag ({ resources, after }: StatementExecutor, answer: StatementAnswer): void {
   if (answer.position !== undefined) {
-    resources.health.reachedPosition(answer.position)
+    resources.health.recordPosition(answer.position)
   }
   if (answer.failure?.kind === 'lagging') {
-    resources.health.lagged()
+    resources.health.recordLag()
   } else if (answer.failure === undefined && after !== undefined) {
-    resources.health.caughtUp()
+    resources.health.recordCaughtUp()
   }
 }
--- a/src/entry/requests/run-statement.ts
+++ b/src/entry/requests/run-statement.ts
@@ -4,7 +4,7 @@
  */
 import { RequestError, toRequestError } from '../../core/errors/index.ts'
 import type { Deadline } from '../../core/time/deadline.ts'
-import { alignValues, prepareOn, SILENCE_MS, type ConnectionLease, type UsedUpstream } from '../pools/index.ts'
+import { applySessionValues, ensurePrepared, SILENCE_MS, type ConnectionLease, type UpstreamResources } from '../pools/index.ts'
 import type { StatementAnswer, UpstreamCommand } from '../ports/index.ts'
 import type { LogPosition } from '../../positions/position.ts'
 import type { ExecutableStatement } from './types.ts'
@@ -19,7 +19,7 @@
 
 /** Options of {@link runCommand}. */
 export interface RunOptions {
-  resources: UsedUpstream
+  resources: UpstreamResources
   lease: ConnectionLease
   deadline: Deadline
   /** Called with the outcome and the time at the upstream. */
@@ -61,11 +61,11 @@
       giveUp()
     }
   }, SILENCE_MS)
-  resources.health.asked()
+  resources.health.recordRequestStart()
   try {
     const pending = Promise.race([lease.connection.run(command), givenUp])
     const answer = await deadline.race(pending, 'may-have-run', `waiting for ${resources.pool.target.upstream}`)
-    resources.health.answered()
+    resources.health.recordAnswer()
     const ranMs = performance.now() - sentAt
     resources.health.recordLatency(ranMs)
     options.onFinished(answer.failure?.kind ?? 'done', ranMs)
@@ -76,7 +76,7 @@
     throw thrown
   } finally {
     clearInterval(watch)
-    resources.health.ended()
+    resources.health.recordRequestEnd()
   }
 }
 
@@ -98,9 +98,9 @@
   const { lease, deadline } = options
   let name = ''
   try {
-    await deadline.race(alignValues(lease, values), 'not-run', 'setting session values')
+    await deadline.race(applySessionValues(lease, values), 'not-run', 'setting session values')
     if (statement.type === 'execute') {
-      name = await deadline.race(prepareOn(lease, statement.prepared), 'not-run', 'preparing the statement')
+      name = await deadline.race(ensurePrepared(lease, statement.prepared), 'not-run', 'preparing the statement')
     }
   } catch (thrown) {
     lease.discard()
--- a/src/entry/requests/statement-executor.ts
+++ b/src/entry/requests/statement-executor.ts
@@ -4,7 +4,7 @@
  */
 import type { RequestError } from '../../core/errors/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
-import type { UsedUpstream } from '../pools/index.ts'
+import type { UpstreamResources } from '../pools/index.ts'
 import type { LogPosition } from '../../positions/position.ts'
 import type { TimedAnswer } from './run-statement.ts'
 import type { ExecutableStatement, RequestScope } from './types.ts'
@@ -30,7 +30,7 @@
 /** Executes one statement or one transaction at an upstream. */
 export interface StatementExecutor {
   readonly target: KnownUpstream
-  readonly resources: UsedUpstream
+  readonly resources: UpstreamResources
   /** Position that the upstream's log must have reached; undefined if the statements require the primary. */
   readonly after?: LogPosition
   /** Name of the home that statements are forwarded to; undefined if the connection belongs to this host. */
--- a/src/entry/requests/types.ts
+++ b/src/entry/requests/types.ts
@@ -6,7 +6,7 @@
 import type { FreshnessService } from '../freshness/index.ts'
 import type { Limits } from '../limits/index.ts'
 import type { Leadership } from '../leadership/index.ts'
-import type { Pools, UsedUpstream } from '../pools/index.ts'
+import type { Pools, UpstreamResources } from '../pools/index.ts'
 import type { Homes } from '../homes/index.ts'
 import type { Access, PreparedShape } from '../ports/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
@@ -50,7 +50,7 @@
 /** An upstream chosen for a request, and the resources of this host for it. */
 export interface ChosenUpstream {
   target: KnownUpstream
-  resources: UsedUpstream
+  resources: UpstreamResources
 }
 
 /** A request in progress. */
