--- a/src/core/logger/events.ts
+++ b/src/core/logger/events.ts
@@ -97,7 +97,7 @@
   'store.regained': { level: 'info', pairs: 'confirmedAgeMs, version', when: 'the store answers this host again' },
   'transaction.begin-repeated': { level: 'info', pairs: 'id, group, upstream, home, reason', when: 'a transaction begins at another upstream' },
   'upstream.no-report': { level: 'info', pairs: 'upstream, group, reason', when: 'an upstream did not answer a question for its role and term' },
-  'upstream.regained': { level: 'info', pairs: 'group, upstream', when: 'an upstream answers this host again' },
+  'upstream.reachable': { level: 'info', pairs: 'group, upstream', when: 'an upstream answers this host again' },
   'upstream.unreachable': { level: 'warn', pairs: 'group, upstream, fault, reason', when: 'an upstream does not answer a host that works there' },
   'write.repeated': { level: 'info', pairs: 'id, group, upstream, home, reason', when: 'a write that was not run is sent again' }
 } as const satisfies Record<string, EventDescription>
--- a/src/entry/pools/used-upstreams.ts
+++ b/src/entry/pools/used-upstreams.ts
@@ -84,7 +84,7 @@
   return {
     onAnswer: () => {
       if (health.unreachableSince !== undefined) {
-        logger.log('info', 'upstream.regained', of)
+        logger.log('info', 'upstream.reachable', of)
       }
       health.recordAnswer()
     },
