--- a/src/entry/pools/align-connection.ts
+++ b/src/entry/pools/align-connection.ts
@@ -1,21 +1,21 @@
-/** Brings a shared connection to the state that a session needs. */
+/** Prepares a shared connection for a session: sets its session values and prepares its statements. */
 import { RequestError } from '../../core/errors/index.ts'
 import type { PreparedShape, UpstreamCommand } from '../ports/index.ts'
 import type { ConnectionLease } from './types.ts'
 
-/** Cost of values that must go, against one for each value to set: everything is dropped and set anew. */
+/** Cost of resetting a connection, in numbers of values to set. A reset clears all values and prepared statements. */
 const RESET_COST = 10
-/** Statements that stay prepared on a connection; the oldest goes first. */
-const PREPARED_KEPT = 100
+/** Maximum number of prepared statements per connection; the least recently used one is deallocated first. */
+const MAXIMUM_PREPARED = 100
 
 /**
- * Says how much must change on a connection.
+ * Estimates the cost of changing a connection's session values to those of a session.
  *
- * @param present - values that are set on it
- * @param wanted - values that a session has
- * @returns 0 when it fits; the larger, the more must change
+ * @param present - values that are set on the connection
+ * @param wanted - values of the session
+ * @returns the number of values to set, plus {@link RESET_COST} if the connection must be reset; 0 if nothing changes
  */
-export function mismatchOf (present: ReadonlyMap<string, string>, wanted: ReadonlyMap<string, string>): number {
+export function mismatchCost (present: ReadonlyMap<string, string>, wanted: ReadonlyMap<string, string>): number {
   let mismatch = [...present.keys()].some((name) => !wanted.has(name)) ? RESET_COST : 0
   for (const [name, value] of wanted) {
     mismatch += present.get(name) === value ? 0 : 1
@@ -24,34 +24,34 @@
 }
 
 /**
- * Sets the values of a session on a connection, and drops those of others.
+ * Sets the values of a session on a connection. Resets the connection first if it has values that the session lacks.
  *
  * @param lease - the connection
  * @param wanted - values of the session
- * @throws RequestError with verdict `not-run`; the connection must be discarded
+ * @throws RequestError with verdict `not-run`; the caller must discard the connection
  */
 export async function applySessionValues (lease: ConnectionLease, wanted: ReadonlyMap<string, string>): Promise<void> {
   if ([...lease.values.keys()].some((name) => !wanted.has(name))) {
-    await runOwn(lease, { type: 'reset' })
+    await runSetupCommand(lease, { type: 'reset' })
     lease.values.clear()
     lease.prepared.clear()
   }
   for (const [name, value] of wanted) {
     if (lease.values.get(name) !== value) {
-      await runOwn(lease, { type: 'set', name, value })
+      await runSetupCommand(lease, { type: 'set', name, value })
       lease.values.set(name, value)
     }
   }
 }
 
 /**
- * Makes sure that a statement is prepared on a connection. Names are given by the connection, one for each shape, so
- * that the names of different callers cannot clash.
+ * Prepares a statement on a connection unless it is prepared already. Names are generated per connection, so those of
+ * different callers cannot conflict.
  *
  * @param lease - the connection
- * @param prepared - access and shape
- * @returns its name there
- * @throws RequestError with verdict `not-run`; the connection must be discarded
+ * @param prepared - access and shape of the statement
+ * @returns the name of the prepared statement on this connection
+ * @throws RequestError with verdict `not-run`; the caller must discard the connection
  */
 export async function ensurePrepared (lease: ConnectionLease, prepared: PreparedShape): Promise<string> {
   const key = `${prepared.access} ${prepared.shape}`
@@ -62,17 +62,17 @@
     return existing
   }
   const [oldest] = lease.prepared
-  if (lease.prepared.size >= PREPARED_KEPT && oldest !== undefined) {
+  if (lease.prepared.size >= MAXIMUM_PREPARED && oldest !== undefined) {
     lease.prepared.delete(oldest[0])
-    await runOwn(lease, { type: 'deallocate', name: oldest[1] })
+    await runSetupCommand(lease, { type: 'deallocate', name: oldest[1] })
   }
-  const name = freeName(lease)
-  await runOwn(lease, { type: 'prepare', name, prepared })
+  const name = unusedName(lease)
+  await runSetupCommand(lease, { type: 'prepare', name, prepared })
   lease.prepared.set(key, name)
   return name
 }
 
-function freeName (lease: ConnectionLease): string {
+function unusedName (lease: ConnectionLease): string {
   const taken = new Set(lease.prepared.values())
   let number = lease.prepared.size + 1
   while (taken.has(`w${number}`)) {
@@ -81,7 +81,7 @@
   return `w${number}`
 }
 
-async function runOwn (lease: ConnectionLease, command: UpstreamCommand): Promise<void> {
+async function runSetupCommand (lease: ConnectionLease, command: UpstreamCommand): Promise<void> {
   const { failure } = await lease.connection.run(command)
   if (failure !== undefined) {
     const reason = `${command.type} failed: ${failure.kind}`
--- a/src/entry/pools/connection-lease.ts
+++ b/src/entry/pools/connection-lease.ts
@@ -1,28 +1,28 @@
-/** Connections of a pool that are in use, each by one statement or transaction. Owns which ones these are. */
+/** Tracks which connections of a pool are leased to a statement or transaction, and ends each lease only once. */
 import type { ConnectionLease, PooledConnection } from './types.ts'
 
 /** Options of {@link createConnectionLeases}. */
 interface ConnectionLeasesOptions {
-  /** A lease ended, and its connection may serve others. */
+  /** Called when a lease ends and its connection can be reused. */
   onRelease: (pooled: PooledConnection) => void
-  /** A lease ended, and its connection was closed. */
+  /** Called when a lease ends and its connection was closed. */
   onDiscard: () => void
 }
 
-/** Connections in use. */
+/** Leased connections of a pool. */
 interface ConnectionLeases {
   readonly inUse: ReadonlySet<PooledConnection>
-  /** Leases a connection; only the first end of a lease counts. */
+  /** Leases a connection. Only the first call of `release` or `discard` has an effect. */
   lease: (pooled: PooledConnection) => ConnectionLease
-  /** Closes all connections in use; their leases end when their users notice. */
+  /** Closes all leased connections. The leases remain until their holders release or discard them. */
   abort: () => void
 }
 
 /**
- * Creates the leases of a pool.
+ * Creates the lease tracker of a pool.
  *
- * @param options - called when a lease ends
- * @returns none yet
+ * @param options - callbacks for the end of a lease
+ * @returns a tracker without leases
  */
 export function createConnectionLeases ({ onRelease, onDiscard }: ConnectionLeasesOptions): ConnectionLeases {
   const inUse = new Set<PooledConnection>()
--- a/src/entry/pools/connection-limits.ts
+++ b/src/entry/pools/connection-limits.ts
@@ -1,62 +1,56 @@
 /**
- * How many connections to an upstream a host may have, and how many it keeps open when idle.
- *
- * Inputs: the cap (connections that the upstream takes from all hosts), its homes, whether this host is one of them,
- * the time since this process started, in milliseconds. Rule: homes share the cap, less {@link RESERVED}, equally; in
- * its first {@link MODEST_START_MS} a home opens no more than it keeps. Any other host has one.
+ * Computes how many connections to an upstream this host may open, and how many it retains when they are idle. The
+ * homes of an upstream share its connection cap equally, less a reserve; every other host may open one connection.
  */
 
 /**
- * Part of the cap that homes leave free, and the least number of connections: for questions of control, and for hosts
- * that reach no home.
+ * Part of the cap that homes leave free, as a fraction and as a minimum number of connections. It serves control
+ * requests and hosts that reach no home.
  */
-const RESERVED = { part: 0.1, least: 2 } as const
+const RESERVED = { fraction: 0.1, minimum: 2 } as const
 /**
- * Part of its share that a home keeps open when idle. Connections of hosts that lose power count at the upstream for
- * some seconds; with half of them free, all hosts can be back at once.
+ * Fraction of its maximum that a home retains when idle. An upstream counts the connections of a host without power
+ * for some seconds, so the rest must suffice for hosts that restart meanwhile.
  */
-const KEPT_PART = 0.5
+const RETAINED_FRACTION = 0.5
 /**
- * Time after its start in which a home opens no more than it keeps when idle, in milliseconds. When all hosts have lost
- * power, the connections of their former processes count at the upstreams for 3 s, and a host that opens more takes it
- * from others.
+ * Time after the start of the process during which a home opens only as many connections as it retains, in
+ * milliseconds. It exceeds the 3 s for which upstreams count the connections of processes that lost power.
  */
-export const MODEST_START_MS = 4000
-/** Connections of a host that is no home of the upstream, for when it reaches none. */
-const OF_OTHERS = { kept: 0, share: 1 } as const
+export const STARTUP_PERIOD_MS = 4000
+/** Limits of a host that is not a home of the upstream, which connects directly only if it reaches no home. */
+const NON_HOME_LIMITS = { retained: 0, maximum: 1 } as const
 
-/** Connections that a host may have. */
 export interface ConnectionLimits {
-  /** Kept open when idle. */
-  kept: number
-  /** Its part of all that the upstream takes. */
-  share: number
+  /** Connections above which idle ones are closed. */
+  retained: number
+  /** Connections that this host may have open. */
+  maximum: number
 }
 
-/** What the limits depend on. */
 interface LimitInput {
-  /** Connections that the upstream takes from all hosts; undefined while unknown. */
+  /** Connections that the upstream accepts from all hosts; undefined while unknown. */
   cap: number | undefined
-  /** Number of its homes. */
+  /** Number of homes of the upstream. */
   homes: number
-  /** Whether this host is one of them. */
+  /** Whether this host is one of the homes. */
   isHome: boolean
   /** Time since this process started, in milliseconds. */
   uptimeMs: number
 }
 
 /**
- * Computes the limits of this host.
+ * Computes the connection limits of this host for one upstream.
  *
- * @param input - the cap and the homes
- * @returns the limits
+ * @param input - connection cap, homes and uptime
+ * @returns the limits; those of a host that is not a home while the cap is unknown
  */
 export function connectionLimits ({ cap, homes, isHome, uptimeMs }: LimitInput): ConnectionLimits {
   if (cap === undefined || !isHome) {
-    return OF_OTHERS
+    return NON_HOME_LIMITS
   }
-  const reserved = Math.max(RESERVED.least, Math.ceil(cap * RESERVED.part))
-  const share = Math.max(1, Math.floor((cap - reserved) / homes))
-  const kept = Math.max(1, Math.floor(share * KEPT_PART))
-  return { kept, share: uptimeMs < MODEST_START_MS ? kept : share }
+  const reserved = Math.max(RESERVED.minimum, Math.ceil(cap * RESERVED.fraction))
+  const maximum = Math.max(1, Math.floor((cap - reserved) / homes))
+  const retained = Math.max(1, Math.floor(maximum * RETAINED_FRACTION))
+  return { retained, maximum: uptimeMs < STARTUP_PERIOD_MS ? retained : maximum }
 }
--- a/src/entry/pools/connection-opener.ts
+++ b/src/entry/pools/connection-opener.ts
@@ -1,65 +1,61 @@
 /**
- * Opens connections to one upstream, and decides what a failed attempt says about the upstream. Owns the attempts in
- * progress and the pause after one for which the upstream had no room.
- *
- * Inputs: what the port throws. Rule: an upstream that refuses for lack of room is healthy, but no further connection
- * is tried for {@link NO_ROOM_PAUSE_MS}, and requests go on waiting; every other failure is a fault of the upstream
- * and fails all requests that wait for it.
+ * Opens connections to one upstream and classifies failed attempts. An upstream that refuses a connection for lack of
+ * capacity is healthy: requests keep waiting, and attempts pause for {@link FULL_PAUSE_MS}. Any other failure is a
+ * fault of the upstream and rejects all requests that wait for it.
  */
 import { RequestError, toRequestError } from '../../core/errors/index.ts'
 import { UpstreamUnreachable, type UpstreamConnection, type UpstreamPort, type UpstreamTarget } from '../ports/index.ts'
 import type { UpstreamFault } from './types.ts'
 
-/** Time to connect, in milliseconds: a new connection takes 12 ms, more while the upstream's slots are taken. */
+/** Timeout of an attempt to connect, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 700
-/** Time for which no further connection is tried after the upstream had no room, in milliseconds. */
-const NO_ROOM_PAUSE_MS = 150
+/** Pause between attempts after the upstream refused a connection for lack of capacity, in milliseconds. */
+const FULL_PAUSE_MS = 150
 
 /** Options of {@link createConnectionOpener}. */
 interface ConnectionOpenerOptions {
   target: UpstreamTarget
   port: UpstreamPort
   onOpened: (connection: UpstreamConnection, organisation: string) => void
-  /** The pause after a lack of room is over. */
-  onPauseOver: () => void
+  /** Called when attempts may resume after a pause. */
+  onPauseEnd: () => void
   onFault: (fault: UpstreamFault, error: RequestError) => void
 }
 
-/** Opens connections. */
 export interface ConnectionOpener {
-  /** Connections being opened. */
+  /** Number of connections being opened. */
   readonly count: number
-  /** Connections being opened, by organisation. */
+  /** Number of connections being opened, by organisation. */
   readonly byOrganisation: ReadonlyMap<string, number>
-  /** Whether no connection is tried, since the upstream had no room. */
+  /** Whether attempts are paused because the upstream had no capacity. */
   readonly isPaused: boolean
-  /** Whether the upstream had no room within twice {@link NO_ROOM_PAUSE_MS}. */
-  readonly hadNoRoomLately: boolean
-  /** Starts to open a connection for an organisation. */
+  /** Whether the upstream refused a connection for lack of capacity within twice {@link FULL_PAUSE_MS}. */
+  readonly wasFullRecently: boolean
+  /** Opens a connection for an organisation and reports the outcome to the callbacks. */
   open: (organisation: string) => Promise<void>
 }
 
 /**
- * Creates the opener of a pool.
+ * Creates the connection opener of a pool.
  *
- * @param options - the upstream, and what is called with the outcome of an attempt
+ * @param options - the upstream, its port and the callbacks
  * @returns the opener
  */
 export function createConnectionOpener (options: ConnectionOpenerOptions): ConnectionOpener {
-  const { target, port, onOpened, onPauseOver, onFault } = options
+  const { target, port, onOpened, onPauseEnd, onFault } = options
   const opening = new Map<string, number>()
   let pausedUntil = -Infinity
 
   const count = (organisation: string, change: number): void => {
-    const left = (opening.get(organisation) ?? 0) + change
-    // Organisations come and go; one with nothing to open must not be looked through at each request.
-    left === 0 ? opening.delete(organisation) : opening.set(organisation, left)
+    const remaining = (opening.get(organisation) ?? 0) + change
+    // Removes organisations without attempts, so that the map doesn't grow with every organisation ever seen.
+    remaining === 0 ? opening.delete(organisation) : opening.set(organisation, remaining)
   }
-  const takeFailure = (thrown: unknown): void => {
-    const fault = faultOf(thrown)
+  const handleFailure = (thrown: unknown): void => {
+    const fault = faultFromError(thrown)
     if (fault === undefined) {
-      pausedUntil = performance.now() + NO_ROOM_PAUSE_MS
-      setTimeout(onPauseOver, NO_ROOM_PAUSE_MS)
+      pausedUntil = performance.now() + FULL_PAUSE_MS
+      setTimeout(onPauseEnd, FULL_PAUSE_MS)
       return
     }
     onFault(fault, toRequestError(thrown, 'not-run'))
@@ -68,7 +64,7 @@
     get count () { return [...opening.values()].reduce((sum, number) => sum + number, 0) },
     byOrganisation: opening,
     get isPaused () { return performance.now() < pausedUntil },
-    get hadNoRoomLately () { return performance.now() < pausedUntil + NO_ROOM_PAUSE_MS },
+    get wasFullRecently () { return performance.now() < pausedUntil + FULL_PAUSE_MS },
     open: async (organisation) => {
       count(organisation, 1)
       try {
@@ -77,19 +73,19 @@
         onOpened(connection, organisation)
       } catch (thrown) {
         count(organisation, -1)
-        takeFailure(thrown)
+        handleFailure(thrown)
       }
     }
   }
 }
 
 /**
- * Says what a failed attempt to connect reveals about the upstream.
+ * Derives the fault of an upstream from a failed attempt to connect.
  *
- * @param thrown - what the port threw
- * @returns the fault; undefined when the upstream is healthy and has no room
+ * @param thrown - error thrown by the port
+ * @returns the fault; undefined if the upstream is healthy but has no capacity
  */
-export function faultOf (thrown: unknown): UpstreamFault | undefined {
+export function faultFromError (thrown: unknown): UpstreamFault | undefined {
   if (thrown instanceof UpstreamUnreachable) {
     return thrown.fault
   }
--- a/src/entry/pools/connection-waiters.ts
+++ b/src/entry/pools/connection-waiters.ts
@@ -1,52 +1,48 @@
 /**
- * Who gets the next connection of a pool. Owns the requests that wait for one.
- *
- * Inputs: priority of each request (0 goes first), its greatest wait in milliseconds, its organisation. Rule: by
- * priority, then in the order of arrival; a connection that no request before it can use goes to the next one. A
- * connection carries the statements of one organisation only, so one is opened for each request that waits, less those
- * being opened for its organisation.
+ * Requests that wait for a connection of a pool, by priority, then in order of arrival. A connection goes to the first
+ * request that can use it. Connections are bound to an organisation, so each waiting request needs one of its own
+ * organisation, less those being opened for it.
  */
 import type { RequestError } from '../../core/errors/index.ts'
 import { createBoundedWait, type BoundedWait } from '../../core/time/bounded-wait.ts'
 import type { ConnectionLease, LeaseRequest } from './types.ts'
 
-/** A request that waits. */
 interface ConnectionWaiter {
   request: LeaseRequest
   wait: BoundedWait<ConnectionLease>
 }
 
-/** Requests that wait for a connection. */
+/** Queue of requests for a connection. */
 interface ConnectionWaiters {
   readonly count: number
   /**
-   * Adds a request by its priority.
+   * Queues a request behind those of the same or a more urgent priority.
    *
    * @param request - the request
-   * @param onTimeout - returns the error of a wait that took too long
+   * @param onTimeout - creates the error that rejects the wait on timeout
    * @returns the wait
    */
   add: (request: LeaseRequest, onTimeout: () => RequestError) => BoundedWait<ConnectionLease>
   /**
-   * Serves all requests for which a lease is found.
+   * Serves every request for which a lease is available.
    *
-   * @param takeLease - finds a lease for a request; undefined when there is none
+   * @param takeLease - takes a lease for a request; undefined if none is available
    */
   serve: (takeLease: (request: LeaseRequest) => ConnectionLease | undefined) => void
   /**
-   * Lists for whom connections are still to be opened.
+   * Lists the connections to open for the waiting requests.
    *
-   * @param opening - connections being opened, by organisation
-   * @returns an organisation for each connection, in the order in which requests are served
+   * @param opening - number of connections being opened, by organisation
+   * @returns the organisation of each connection to open, in the order in which requests are served
    */
   unservedOrganisations: (opening: ReadonlyMap<string, number>) => string[]
   rejectAll: (error: RequestError) => void
 }
 
 /**
- * Creates the waiters of a pool.
+ * Creates the wait queue of a pool.
  *
- * @returns none yet
+ * @returns an empty queue
  */
 export function createConnectionWaiters (): ConnectionWaiters {
   const waiters: ConnectionWaiter[] = []
@@ -76,11 +72,11 @@
       }
     },
     unservedOrganisations: (opening) => {
-      const coming = new Map(opening)
+      const pending = new Map(opening)
       return waiters.flatMap(({ request: { organisation = '' } }) => {
-        const left = coming.get(organisation) ?? 0
-        coming.set(organisation, left - 1)
-        return left > 0 ? [] : [organisation]
+        const remaining = pending.get(organisation) ?? 0
+        pending.set(organisation, remaining - 1)
+        return remaining > 0 ? [] : [organisation]
       })
     },
     rejectAll: (error) => waiters.splice(0).forEach(({ wait }) => wait.reject(error))
--- a/src/entry/pools/idle-connections.ts
+++ b/src/entry/pools/idle-connections.ts
@@ -1,48 +1,42 @@
 /**
- * Which idle connection serves a request, and which one is closed first. Owns the idle connections of one pool, the one
- * that has been idle for longest first.
- *
- * Inputs: the requester's organisation and session values; the idle time of each connection in milliseconds; how many
- * connections are kept open. Rule: a connection of the same organisation whose session values need the fewest changes,
- * the most recently used of equal ones. Connections beyond those that are kept are closed after
- * {@link SURPLUS_IDLE_MS}, or {@link SURPLUS_IDLE_SHARED_MS} where several organisations share the upstream.
+ * Idle connections of one pool, ordered from the longest idle to the most recently used. A request gets the connection
+ * of its organisation that needs the fewest changes of session values, the most recently used of equal ones.
  */
-import { mismatchOf } from './align-connection.ts'
+import { mismatchCost } from './align-connection.ts'
 import type { LeaseRequest, PooledConnection } from './types.ts'
 
-/** Time after which an idle connection beyond those that are kept is closed, in milliseconds. */
+/** Time after which a surplus idle connection is closed, in milliseconds. */
 const SURPLUS_IDLE_MS = 1500
 /**
- * The same where organisations share the upstream, in milliseconds: no other one's connection can take its place, so
- * that one which comes back after some seconds would have to open it anew.
+ * Time after which a surplus idle connection is closed if several organisations use the upstream, in milliseconds. It
+ * is longer because an organisation can't reuse the connections of another.
  */
 const SURPLUS_IDLE_SHARED_MS = 10_000
 
-/** Idle connections of a pool. */
 interface IdleConnections {
   readonly count: number
   /** Adds a connection as the most recently used one. */
   add: (pooled: PooledConnection) => void
-  /** Takes the connection that fits a request best; undefined when none is of its organisation. */
+  /** Removes and returns the best match for a request; undefined if its organisation has no idle connection. */
   takeBest: (request: Pick<LeaseRequest, 'organisation' | 'values'>) => PooledConnection | undefined
   /** Removes a connection; returns whether it was idle. */
   remove: (pooled: PooledConnection) => boolean
-  /** Closes the connection that has been idle for longest; returns whether there was one. */
+  /** Closes the connection that has been idle longest; returns whether there was one. */
   closeLongestIdle: () => boolean
   /**
-   * Closes connections that have been idle for too long.
+   * Closes surplus connections that have been idle for too long.
    *
-   * @param inUse - connections in use: whether organisations share the upstream depends on them too
-   * @param hasSurplus - whether more connections are open than are kept; evaluated before each closing
+   * @param inUse - leased connections, which count when checking whether several organisations use the upstream
+   * @param hasSurplus - whether more connections are open than the pool retains; evaluated before each closing
    */
   closeSurplus: (inUse: Iterable<PooledConnection>, hasSurplus: () => boolean) => void
   closeAll: () => void
 }
 
 /**
- * Creates the idle connections of a pool.
+ * Creates the list of idle connections of a pool.
  *
- * @returns none yet
+ * @returns an empty list
  */
 export function createIdleConnections (): IdleConnections {
   const idle: PooledConnection[] = []
@@ -53,7 +47,7 @@
       idle.push(pooled)
     },
     takeBest: (request) => {
-      const best = indexOfBest(idle, request)
+      const best = findBestIndex(idle, request)
       return best < 0 ? undefined : idle.splice(best, 1)[0]
     },
     remove: (pooled) => {
@@ -76,15 +70,15 @@
   }
 }
 
-function indexOfBest (
+function findBestIndex (
   idle: PooledConnection[], { organisation, values }: Pick<LeaseRequest, 'organisation' | 'values'>
 ): number {
   let best = -1
   let leastMismatch = Infinity
   for (let index = idle.length - 1; index >= 0; index--) {
     const pooled = idle[index]!
-    const isFit = organisation === undefined || pooled.organisation === organisation
-    const mismatch = isFit ? mismatchOf(pooled.values, values) : Infinity
+    const isMatch = organisation === undefined || pooled.organisation === organisation
+    const mismatch = isMatch ? mismatchCost(pooled.values, values) : Infinity
     if (mismatch < leastMismatch) {
       best = index
       leastMismatch = mismatch
@@ -93,7 +87,6 @@
   return best
 }
 
-/** Time after which surplus connections are closed, in milliseconds. */
 function surplusIdleMs (open: PooledConnection[]): number {
   const isShared = new Set(open.map(({ organisation }) => organisation)).size > 1
   return isShared ? SURPLUS_IDLE_SHARED_MS : SURPLUS_IDLE_MS
--- a/src/entry/pools/index.ts
+++ b/src/entry/pools/index.ts
@@ -1,8 +1,8 @@
-/** Plug-in `pools`: this host's connections to every upstream, and what it has seen of each. */
+/** Plug-in `pools`: connection pool, statement queue and health of each upstream that this host uses. */
 import { registerPlugin } from '../../core/kernel/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import { connectionLimits, type ConnectionLimits } from './connection-limits.ts'
-import { createUpstreamQuestions, type UpstreamQuestions } from './upstream-questions.ts'
+import { createUpstreamControl, type UpstreamControl } from './upstream-control.ts'
 import { createUsedUpstreams, describeUsedUpstreams, type UpstreamResources } from './used-upstreams.ts'
 
 export { applySessionValues, ensurePrepared } from './align-connection.ts'
@@ -11,8 +11,8 @@
 export { SILENCE_MS } from './upstream-health.ts'
 
 /** Service of the plug-in. */
-export interface Pools extends UpstreamQuestions {
-  /** Returns the pool and the health of an upstream that is in the directory. */
+export interface Pools extends UpstreamControl {
+  /** Returns the pool, queue and health of an upstream in the directory. */
   of: (upstream: KnownUpstream) => UpstreamResources
 }
 
@@ -34,19 +34,19 @@
       isHome: homes.isHome(upstream),
       uptimeMs: performance.now() - startedAt
     })
-    const { of, forget, all } = createUsedUpstreams({
-      port, logger, limitsOf, homesOf: (upstream) => homes.of(upstream).length
+    const { of, remove, all } = createUsedUpstreams({
+      port, logger, limitsOf, homeCountOf: (upstream) => homes.of(upstream).length
     })
     use('directory').onChange(({ upstream, change }) => {
       if (change === 'gone' || change === 'moved' || change === 'reborn') {
-        forget(upstream.upstream)
+        remove(upstream.upstream)
       }
     })
-    const questions = createUpstreamQuestions({ port, logger, healthOf: (upstream) => of(upstream).health })
+    const control = createUpstreamControl({ port, logger, healthOf: (upstream) => of(upstream).health })
     return {
-      service: { of, ...questions },
+      service: { of, ...control },
       dump: () => describeUsedUpstreams(all),
-      close: () => { [...all.keys()].forEach(forget) }
+      close: () => { [...all.keys()].forEach(remove) }
     }
   }
 })
--- a/src/entry/pools/types.ts
+++ b/src/entry/pools/types.ts
@@ -1,44 +1,42 @@
-/** Types of the pools of upstream connections. */
+/** Types shared by the modules of the connection pools. */
 import type { UpstreamConnection } from '../ports/index.ts'
 
-/** A connection, and what was left on it by the sessions that used it. */
+/** A connection and the state that earlier sessions left on it. */
 export interface PooledConnection {
   connection: UpstreamConnection
-  /** Name of the organisation whose statements it carries; empty for none. */
+  /** Organisation whose statements the connection carries; empty for none. */
   readonly organisation: string
-  /** Session values that were set on it. */
+  /** Session values that are set on the connection. */
   values: Map<string, string>
-  /** Names of statements that were prepared on it, by access and shape. */
+  /** Names of the statements that are prepared on the connection, by access and shape. */
   prepared: Map<string, string>
   idleSince: number
 }
 
-/** A connection that is in use by one statement or transaction. */
+/** Exclusive use of a connection by one statement or transaction. */
 export interface ConnectionLease extends PooledConnection {
-  /** Gives the connection back for others. */
+  /** Returns the connection to the pool. */
   release: () => void
-  /** Closes the connection: what it carries is in doubt. */
+  /** Closes the connection, for when the state of its session is unknown. */
   discard: () => void
 }
 
-/** What a user of a connection needs. */
+/** Requirements for a connection. */
 export interface LeaseRequest {
-  /** Name of the organisation that asks; undefined where a connection of any will do. */
+  /** Organisation of the requester; undefined if a connection of any organisation can be used. */
   organisation: string | undefined
-  /** Session values that the connection should have; a connection that fits is preferred. */
+  /** Session values of the requester; a connection that has them is preferred. */
   values: ReadonlyMap<string, string>
-  /** 0 goes first. */
+  /** Lower values are served first. */
   priority: number
-  /** Greatest wait, in milliseconds. */
+  /** Maximum wait, in milliseconds. */
   waitMs: number
 }
 
-/** How an upstream failed. */
 export type UpstreamFault = 'refused' | 'silent' | 'broken' | 'misrouted'
 
-/** What a pool reports of its upstream. */
+/** Events of an upstream that a pool reports. */
 export interface PoolEvents {
-  /** The upstream answered. */
   onAnswer: () => void
   onFault: (fault: UpstreamFault, reason: string) => void
 }
--- a/src/entry/pools/upstream-health.ts
+++ b/src/entry/pools/upstream-health.ts
@@ -1,112 +1,105 @@
 /**
- * For how long reads go elsewhere after an upstream has failed or lagged, and how long a statement is expected to take
- * there. Owns what this host has seen of one upstream.
- *
- * Inputs: faults, lags and latencies (in milliseconds) as they are seen here. Rule: an upstream that did not answer is
- * avoided for {@link AVOID_MS}, a replica that lagged for {@link LAG_MS}, twice as long with each repetition until it
- * answers or has caught up; one to which a request got no connection in its time, for the first of {@link AVOID_MS}.
- * The expected time is a running mean, whose excess over that of an unused upstream halves with time, so that one which
- * was slow is tried again. A connection that breaks says nothing about the upstream.
+ * Health of one upstream as seen by this host. An upstream that fails, or a replica that lags, is avoided for a time
+ * that doubles with each repetition until it answers or has caught up. The expected latency is a moving average that
+ * decays towards the initial value, so that an upstream that was slow is tried again.
  */
 import { laterPosition, type LogPosition } from '../../positions/position.ts'
 import type { UpstreamFault } from './types.ts'
 
-/** Weight of a new latency in the running mean. */
+/** Weight of a new sample in the moving average of the latency. */
 const SAMPLE_WEIGHT = 0.2
-/** Latency that is assumed of an upstream that has not been used yet, in milliseconds. */
+/** Assumed latency of an upstream that has not been used yet, in milliseconds. */
 const INITIAL_LATENCY_MS = 15
-/** Time in which the memory of a high latency halves while the upstream is not used, in milliseconds. */
+/** Time in which the excess over the initial latency halves while the upstream is not used, in milliseconds. */
 const LATENCY_HALF_LIFE_MS = 800
-/** First and greatest time for which an upstream that failed is avoided, in milliseconds; it doubles in between. */
-const AVOID_MS = { first: 250, greatest: 2000 } as const
-/** First and greatest time for which a replica that lagged is avoided, in milliseconds; it doubles in between. */
-const LAG_MS = { first: 100, greatest: 800 } as const
+/** Bounds of the time for which a failed upstream is avoided, in milliseconds. */
+const AVOIDANCE_MS = { initial: 250, maximum: 2000 } as const
+/** Bounds of the time for which a lagging replica is avoided, in milliseconds. */
+const LAG_AVOIDANCE_MS = { initial: 100, maximum: 800 } as const
 
-/**
- * Time without any answer from which an upstream that was asked something counts as silent, in milliseconds: ten times
- * an ordinary statement.
- */
+/** Time without an answer after which an upstream with pending requests counts as silent, in milliseconds. */
 export const SILENCE_MS = 300
 
-/** Health of one upstream as this host sees it. */
 export interface UpstreamHealth {
-  /** When it last answered anything, on the steady clock. */
+  /** Time of the last answer, on the monotonic clock in milliseconds. */
   readonly lastAnswerAt: number
-  /** Whether it has answered nothing for {@link SILENCE_MS} although something was asked all that time. */
+  /** Whether requests have been pending for {@link SILENCE_MS} without any answer. */
   readonly isSilent: boolean
-  /** Since when it has not answered although it was asked; undefined while it answers. */
+  /** Time of the first failure since the last answer, on the monotonic clock; undefined if there was none. */
   readonly unreachableSince: number | undefined
-  /** Whether reads should go elsewhere because it failed. */
+  /** Whether reads should avoid the upstream because it failed. */
   readonly avoided: boolean
-  /** Whether reads should go elsewhere because it lagged. */
+  /** Whether reads should avoid the upstream because it lags. */
   readonly lagging: boolean
-  /** Expected time of a statement, in milliseconds. */
+  /** Expected duration of a statement, in milliseconds. */
   readonly latencyMs: number
-  /** Furthest position of its log that any answer has carried. */
+  /** Highest log position that any answer has carried. */
   readonly highestPosition: LogPosition | undefined
-  /** Records the position of an answer, a refusal's too. */
+  /** Records the log position of an answer, which may be a refusal. */
   recordPosition: (position: LogPosition) => void
   recordAnswer: () => void
-  /** Records that it was asked something. */
   recordRequestStart: () => void
-  /** Records that a question has ended, with or without an answer. */
+  /** Records that a request has ended, with or without an answer. */
   recordRequestEnd: () => void
-  /** Records the time of a statement, in milliseconds. */
+  /** Records the duration of a statement, in milliseconds. */
   recordLatency: (latencyMs: number) => void
+  /** Records a fault. A broken connection is ignored, since it says nothing about the upstream. */
   recordFailure: (fault: UpstreamFault) => void
-  /** Records that it could not be reached in the time of a request, which says less than a failure. */
+  /** Records that a request got no connection in time. The upstream is avoided briefly but not marked unreachable. */
   recordConnectionTimeout: () => void
   recordLag: () => void
   recordCaughtUp: () => void
 }
 
 /**
- * Creates the health of an upstream; it counts as healthy until something else is seen.
+ * Creates the health record of an upstream.
  *
- * @returns the health
+ * @returns a record that counts as healthy
  */
 export function createUpstreamHealth (): UpstreamHealth {
   let lastAnswerAt = -Infinity
   let unreachableSince: number | undefined
-  let questions = 0
-  /** When the first of the questions in progress was asked, or an answer came since. */
-  let awaitedSince = -Infinity
+  let pendingRequests = 0
+  /** Start of the first pending request, or time of the last answer if that is later. */
+  let waitingSince = -Infinity
   let avoidUntil = -Infinity
-  let avoidMs: number = AVOID_MS.first
+  let avoidMs: number = AVOIDANCE_MS.initial
   let lagUntil = -Infinity
-  let lagMs: number = LAG_MS.first
+  let lagMs: number = LAG_AVOIDANCE_MS.initial
   let latency = INITIAL_LATENCY_MS
   let measuredAt = -Infinity
-  let reached: LogPosition | undefined
+  let highestPosition: LogPosition | undefined
 
-  const decayed = (): number => {
+  const decayedLatency = (): number => {
     const age = performance.now() - measuredAt
     const excess = Math.max(0, latency - INITIAL_LATENCY_MS)
     return latency - excess * (1 - 0.5 ** (age / LATENCY_HALF_LIFE_MS))
   }
   return {
     get lastAnswerAt () { return lastAnswerAt },
-    get isSilent () { return questions > 0 && performance.now() - awaitedSince >= SILENCE_MS },
+    get isSilent () { return pendingRequests > 0 && performance.now() - waitingSince >= SILENCE_MS },
     get unreachableSince () { return unreachableSince },
     get avoided () { return performance.now() < avoidUntil },
     get lagging () { return performance.now() < lagUntil },
-    get latencyMs () { return decayed() },
-    get highestPosition () { return reached },
-    recordPosition: (position) => { reached = reached === undefined ? position : laterPosition(reached, position) },
+    get latencyMs () { return decayedLatency() },
+    get highestPosition () { return highestPosition },
+    recordPosition: (position) => {
+      highestPosition = highestPosition === undefined ? position : laterPosition(highestPosition, position)
+    },
     recordAnswer: () => {
       lastAnswerAt = performance.now()
-      awaitedSince = lastAnswerAt
+      waitingSince = lastAnswerAt
       unreachableSince = undefined
       avoidUntil = -Infinity
-      avoidMs = AVOID_MS.first
+      avoidMs = AVOIDANCE_MS.initial
     },
     recordRequestStart: () => {
-      awaitedSince = questions === 0 ? performance.now() : awaitedSince
-      questions++
+      waitingSince = pendingRequests === 0 ? performance.now() : waitingSince
+      pendingRequests++
     },
-    recordRequestEnd: () => { questions-- },
+    recordRequestEnd: () => { pendingRequests-- },
     recordLatency: (latencyMs) => {
-      const before = decayed()
+      const before = decayedLatency()
       latency = before + SAMPLE_WEIGHT * (latencyMs - before)
       measuredAt = performance.now()
     },
@@ -116,16 +109,16 @@
       }
       unreachableSince ??= performance.now()
       avoidUntil = performance.now() + avoidMs
-      avoidMs = Math.min(AVOID_MS.greatest, avoidMs * 2)
+      avoidMs = Math.min(AVOIDANCE_MS.maximum, avoidMs * 2)
     },
-    recordConnectionTimeout: () => { avoidUntil = Math.max(avoidUntil, performance.now() + AVOID_MS.first) },
+    recordConnectionTimeout: () => { avoidUntil = Math.max(avoidUntil, performance.now() + AVOIDANCE_MS.initial) },
     recordLag: () => {
       lagUntil = performance.now() + lagMs
-      lagMs = Math.min(LAG_MS.greatest, lagMs * 2)
+      lagMs = Math.min(LAG_AVOIDANCE_MS.maximum, lagMs * 2)
     },
     recordCaughtUp: () => {
       lagUntil = -Infinity
-      lagMs = LAG_MS.first
+      lagMs = LAG_AVOIDANCE_MS.initial
     }
   }
 }
--- a/src/entry/pools/upstream-pool.ts
+++ b/src/entry/pools/upstream-pool.ts
@@ -1,11 +1,7 @@
 /**
- * Connections of this host to one upstream: leases them, opens as many as this host's share allows, and closes idle
- * ones.
- * Relies on idle-connections.ts (which one serves a request), connection-waiters.ts (who gets the next one),
- * connection-opener.ts (what a failed attempt means) and connection-lease.ts (which ones are in use).
- *
- * Rule for a new connection: open connections, those being opened included, stay within the share; an organisation for
- * which none is open takes the place of the connection that has been idle for longest.
+ * Pool of connections from this host to one upstream. Open connections, including those being opened, stay within the
+ * host's maximum. At the maximum, the connection that has been idle longest is closed to open one for an organisation
+ * that has none available.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { UpstreamConnection, UpstreamPort, UpstreamTarget } from '../ports/index.ts'
@@ -16,46 +12,46 @@
 import { createIdleConnections } from './idle-connections.ts'
 import type { ConnectionLease, LeaseRequest, PooledConnection, PoolEvents } from './types.ts'
 
-/** Time between two looks for surplus connections, in milliseconds. */
-const TRIM_MS = 1000
+/** Interval of the check for surplus connections, in milliseconds. */
+const TRIM_INTERVAL_MS = 1000
 
 /** Options of {@link createUpstreamPool}. */
 interface UpstreamPoolOptions {
   target: UpstreamTarget
   port: UpstreamPort
-  /** Connections that this host may have; evaluated whenever one is opened or closed. */
+  /** Limits of this host; evaluated whenever a connection may be opened or closed. */
   limits: () => ConnectionLimits
   events: PoolEvents
 }
 
-/** Connections of this host to one upstream. */
+/** Connection pool of one upstream. */
 export interface UpstreamPool {
   readonly target: UpstreamTarget
-  /** Statements and transactions that hold a connection. */
+  /** Number of leased connections. */
   readonly inUse: number
   readonly waiting: number
-  /** Open connections, those being opened included. */
+  /** Number of open connections, including those being opened. */
   readonly size: number
-  /** Whether a new user would get a connection at once, opening one included. */
+  /** Whether a connection is idle or may be opened. */
   readonly hasRoom: boolean
   /**
-   * Takes a connection.
+   * Leases a connection, waiting for one if necessary.
    *
-   * @param request - what the user needs
+   * @param request - requirements for the connection
    * @returns the lease
-   * @throws RequestError with verdict `not-run`
+   * @throws RequestError with verdict `not-run` if the pool is closed, the upstream fails or the wait times out
    */
   acquire: (request: LeaseRequest) => Promise<ConnectionLease>
-  /** Closes every connection that is in use. */
+  /** Closes all leased connections. */
   abortInUse: () => void
-  /** Takes no new users; connections close as they come back. */
+  /** Rejects new and waiting requests; leased connections are closed when they are returned. */
   close: () => void
 }
 
 /**
- * Creates a pool.
+ * Creates the connection pool of an upstream.
  *
- * @param options - the upstream and the limits
+ * @param options - the upstream, its port, limits and events
  * @returns the pool
  */
 export function createUpstreamPool (options: UpstreamPoolOptions): UpstreamPool {
@@ -67,9 +63,9 @@
 
   const openCount = (): number => idle.count + leases.inUse.size
   const size = (): number => openCount() + opener.count
-  const mayOpen = (): boolean => !closed && size() < options.limits().share && !opener.isPaused
-  /** Makes room for one more connection, also by closing an idle one. */
-  const makeRoom = (): boolean => !closed && (mayOpen() || idle.closeLongestIdle())
+  const canOpen = (): boolean => !closed && size() < options.limits().maximum && !opener.isPaused
+  /** Ensures that one more connection may be opened, closing an idle one if necessary. */
+  const ensureCapacity = (): boolean => !closed && (canOpen() || idle.closeLongestIdle())
 
   const leaseIdle = (request: LeaseRequest): ConnectionLease | undefined => {
     const ready = idle.takeBest(request)
@@ -82,13 +78,13 @@
   const serveWaiters = (): void => {
     waiters.serve(leaseIdle)
     for (const organisation of waiters.unservedOrganisations(opener.byOrganisation)) {
-      if (!makeRoom()) {
+      if (!ensureCapacity()) {
         return
       }
       void opener.open(organisation)
     }
   }
-  const takeClosed = (pooled: PooledConnection): void => {
+  const handleClosed = (pooled: PooledConnection): void => {
     if (idle.remove(pooled)) {
       events.onFault('broken', 'an idle connection was closed')
     }
@@ -98,48 +94,48 @@
     port,
     onOpened: (connection, organisation) => {
       events.onAnswer()
-      putBack(pooledOf(connection, organisation, takeClosed))
+      putBack(createPooledConnection(connection, organisation, handleClosed))
     },
-    onPauseOver: () => serveWaiters(),
+    onPauseEnd: () => serveWaiters(),
     onFault: (fault, error) => {
       events.onFault(fault, error.message)
       waiters.rejectAll(error)
     }
   })
-  const trim = setInterval(() => {
-    idle.closeSurplus(leases.inUse, () => size() > options.limits().kept)
+  const trimTimer = setInterval(() => {
+    idle.closeSurplus(leases.inUse, () => size() > options.limits().retained)
     serveWaiters()
-  }, TRIM_MS).unref()
+  }, TRIM_INTERVAL_MS).unref()
 
   return {
     target,
     get inUse () { return leases.inUse.size },
     get waiting () { return waiters.count },
     get size () { return size() },
-    get hasRoom () { return idle.count > 0 || mayOpen() },
+    get hasRoom () { return idle.count > 0 || canOpen() },
     acquire: async (request) => {
       if (closed) {
-        throw leaving(target)
+        throw poolClosedError(target)
       }
       const ready = leaseIdle(request)
       if (ready !== undefined) {
         return ready
       }
-      const wait = waiters.add(request, () => waitedTooLong(target, request.waitMs, openCount(), opener))
+      const wait = waiters.add(request, () => waitTimeoutError(target, request.waitMs, openCount(), opener))
       serveWaiters()
       return await wait.result
     },
     abortInUse: leases.abort,
     close: () => {
       closed = true
-      clearInterval(trim)
+      clearInterval(trimTimer)
       idle.closeAll()
-      waiters.rejectAll(leaving(target))
+      waiters.rejectAll(poolClosedError(target))
     }
   }
 }
 
-function pooledOf (
+function createPooledConnection (
   connection: UpstreamConnection, organisation: string, onClose: (pooled: PooledConnection) => void
 ): PooledConnection {
   const pooled = { connection, organisation, values: new Map(), prepared: new Map(), idleSince: 0 }
@@ -147,15 +143,15 @@
   return pooled
 }
 
-function leaving ({ upstream }: UpstreamTarget): RequestError {
+function poolClosedError ({ upstream }: UpstreamTarget): RequestError {
   return new RequestError('not-run', 'ConnectionLost', { upstream, reason: 'it is leaving' })
 }
 
-/** Without any connection, and with room for one, the upstream is hard to reach; otherwise it has too much to do. */
-function waitedTooLong (
-  { group, upstream }: UpstreamTarget, waitMs: number, open: number, { hadNoRoomLately }: ConnectionOpener
+/** Reports the upstream as unreachable if no connection is open and it wasn't full recently, else as overloaded. */
+function waitTimeoutError (
+  { group, upstream }: UpstreamTarget, waitMs: number, open: number, { wasFullRecently }: ConnectionOpener
 ): RequestError {
-  return open === 0 && !hadNoRoomLately
+  return open === 0 && !wasFullRecently
     ? new RequestError('not-run', 'ConnectionLost', { upstream, reason: 'it cannot be reached in time' })
     : new RequestError('not-run', 'Overloaded', {
       group, reason: `no connection to ${upstream} in time`, retryAfterMs: Math.round(waitMs)
--- a/src/entry/pools/used-upstreams.ts
+++ b/src/entry/pools/used-upstreams.ts
@@ -1,7 +1,6 @@
 /**
- * What this host holds of each upstream that it uses: connections, the queue in front of it, health. Created at the
- * first use; dropped when the upstream is gone, has moved or was started again, since nothing that was seen of it is
- * valid then.
+ * Pool, statement queue and health of each upstream that this host uses. They are created at the first use and dropped
+ * when the upstream is gone, has moved or was restarted, since observations of it are no longer valid.
  */
 import type { Logger } from '../../core/logger/index.ts'
 import type { KnownUpstream } from '../directory/index.ts'
@@ -12,10 +11,10 @@
 import { createUpstreamHealth, type UpstreamHealth } from './upstream-health.ts'
 import { createUpstreamPool, type UpstreamPool } from './upstream-pool.ts'
 
-/** An upstream as this host uses it. */
+/** Pool, statement queue and health of one upstream. */
 export interface UpstreamResources {
   pool: UpstreamPool
-  /** Lets statements go there a few at a time. */
+  /** Limits the statements in progress at the upstream. */
   queue: StatementQueue
   health: UpstreamHealth
 }
@@ -24,37 +23,37 @@
 interface UsedUpstreamsOptions {
   port: UpstreamPort
   logger: Logger
-  /** Connections that this host may have. */
+  /** Returns the connection limits of this host. */
   limitsOf: (upstream: KnownUpstream) => ConnectionLimits
-  /** Number of homes that share the upstream. */
-  homesOf: (upstream: KnownUpstream) => number
+  /** Returns the number of homes that share the upstream. */
+  homeCountOf: (upstream: KnownUpstream) => number
 }
 
-/** Upstreams that this host uses. */
+/** Registry of the upstreams in use. */
 interface UsedUpstreams {
-  /** Returns what this host holds of an upstream; created when it holds nothing yet. */
+  /** Returns the resources of an upstream, created at the first call. */
   of: (upstream: KnownUpstream) => UpstreamResources
-  /** Closes the connections to an upstream and drops what is known of it. */
-  forget: (name: string) => void
-  /** The upstreams in use, by name. */
+  /** Closes the pool of an upstream and drops its resources. */
+  remove: (name: string) => void
+  /** Resources of all upstreams in use, by name. */
   all: ReadonlyMap<string, UpstreamResources>
 }
 
 /**
- * Creates the upstreams in use.
+ * Creates the registry of the upstreams in use.
  *
- * @param options - the port, and the limits of connections and statements
- * @returns none yet
+ * @param options - the port, the logger and the limits
+ * @returns an empty registry
  */
 export function createUsedUpstreams (options: UsedUpstreamsOptions): UsedUpstreams {
   const used = new Map<string, UpstreamResources>()
   return {
     of: (upstream) => {
-      const known = used.get(upstream.upstream) ?? createUsedUpstream(upstream, options)
-      used.set(upstream.upstream, known)
-      return known
+      const resources = used.get(upstream.upstream) ?? createUpstreamResources(upstream, options)
+      used.set(upstream.upstream, resources)
+      return resources
     },
-    forget: (name) => {
+    remove: (name) => {
       used.get(name)?.pool.close()
       used.delete(name)
     },
@@ -62,8 +61,8 @@
   }
 }
 
-function createUsedUpstream (
-  known: KnownUpstream, { port, logger, limitsOf, homesOf }: UsedUpstreamsOptions
+function createUpstreamResources (
+  known: KnownUpstream, { port, logger, limitsOf, homeCountOf }: UsedUpstreamsOptions
 ): UpstreamResources {
   const { upstream, group, endpoint } = known
   const health = createUpstreamHealth()
@@ -71,26 +70,28 @@
     target: { group, upstream, endpoint },
     port,
     limits: () => limitsOf(known),
-    events: logFaults(health, { group, upstream }, logger)
+    events: createPoolEvents(health, { group, upstream }, logger)
   })
   const queue = createStatementQueue({
-    group, upstream, limits: () => ({ slots: known.slots, homes: homesOf(known) })
+    group, upstream, limits: () => ({ slots: known.slots, homes: homeCountOf(known) })
   })
   return { pool, queue, health }
 }
 
-/** Records what a pool reports in the upstream's health, and logs when it is lost and regained. */
-function logFaults (health: UpstreamHealth, of: { group: string, upstream: string }, logger: Logger): PoolEvents {
+/** Records a pool's events in its upstream's health, and logs when the upstream becomes unreachable or reachable. */
+function createPoolEvents (
+  health: UpstreamHealth, fields: { group: string, upstream: string }, logger: Logger
+): PoolEvents {
   return {
     onAnswer: () => {
       if (health.unreachableSince !== undefined) {
-        logger.log('info', 'upstream.reachable', of)
+        logger.log('info', 'upstream.reachable', fields)
       }
       health.recordAnswer()
     },
     onFault: (fault, reason) => {
       if (health.unreachableSince === undefined && fault !== 'broken') {
-        logger.log('warn', 'upstream.unreachable', { ...of, fault, reason })
+        logger.log('warn', 'upstream.unreachable', { ...fields, fault, reason })
       }
       health.recordFailure(fault)
     }
@@ -98,10 +99,10 @@
 }
 
 /**
- * Describes what this host holds, for the dump of its state.
+ * Describes the upstreams in use, for the state dump.
  *
- * @param all - the upstreams in use
- * @returns the state of each, by name
+ * @param all - resources of the upstreams in use, by name
+ * @returns the state of each upstream, by name
  */
 export function describeUsedUpstreams (all: ReadonlyMap<string, UpstreamResources>): Record<string, object> {
   return Object.fromEntries([...all].map(([name, { pool, queue, health }]) => [name, {
--- a/test/entry/pools/connection-limits.test.ts
+++ b/test/entry/pools/connection-limits.test.ts
@@ -1,33 +1,34 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { countHomes } from '../../../src/placement/upstream-homes.ts'
-import { connectionLimits, MODEST_START_MS } from '../../../src/entry/pools/connection-limits.ts'
+import { connectionLimits, STARTUP_PERIOD_MS } from '../../../src/entry/pools/connection-limits.ts'
 
-/** Caps and numbers of hosts: those of the users, and some around them. */
+/** Pairs of a connection cap and a number of hosts. */
 const SIZES = [[16, 7], [16, 10], [23, 9], [38, 8], [53, 71], [88, 195], [283, 72], [10, 5], [7, 3]] as const
 
-describe('the limits of connections', () => {
+describe('connection limits', () => {
   for (const [cap, hosts] of SIZES) {
     const homes = countHomes(cap, 3, hosts)
     const limits = (isHome: boolean, uptimeMs: number) => connectionLimits({ cap, homes, isHome, uptimeMs })
 
-    it(`leave room for ${hosts} hosts that are all back while their former connections still count, of ${cap}`, () => {
-      const before = limits(true, MODEST_START_MS)
-      const after = limits(true, 0)
-      expect(homes * (before.kept + after.share) <= cap).toEqual(true)
+    it(`let ${hosts} hosts restart within a cap of ${cap} while their former connections still count`, () => {
+      const beforeRestart = limits(true, STARTUP_PERIOD_MS)
+      const afterRestart = limits(true, 0)
+      expect(homes * (beforeRestart.retained + afterRestart.maximum) <= cap).toEqual(true)
     })
 
-    it(`never add up to more than ${cap} at the homes of ${hosts} hosts, and leave room for others`, () => {
-      expect(homes * limits(true, MODEST_START_MS).share <= cap - 2).toEqual(true)
+    it(`stay within a cap of ${cap} at all homes of ${hosts} hosts, with a reserve`, () => {
+      expect(homes * limits(true, STARTUP_PERIOD_MS).maximum <= cap - 2).toEqual(true)
     })
 
-    it(`give each home something at once, and each other host a connection that it does not keep, of ${cap}`, () => {
-      expect(limits(true, 0).share >= 1).toEqual(true)
-      expect(limits(false, MODEST_START_MS)).toEqual({ kept: 0, share: 1 })
+    it(`give a home at least one connection, and other hosts one that is not retained, at a cap of ${cap}`, () => {
+      expect(limits(true, 0).maximum >= 1).toEqual(true)
+      expect(limits(false, STARTUP_PERIOD_MS)).toEqual({ retained: 0, maximum: 1 })
     })
   }
 
-  it('are careful while nothing is known', () => {
-    expect(connectionLimits({ cap: undefined, homes: 0, isHome: false, uptimeMs: 0 })).toEqual({ kept: 0, share: 1 })
+  it('allow one connection while the cap is unknown', () => {
+    expect(connectionLimits({ cap: undefined, homes: 0, isHome: false, uptimeMs: 0 }))
+      .toEqual({ retained: 0, maximum: 1 })
   })
 })
--- a/test/entry/pools/statement-queue.test.ts
+++ b/test/entry/pools/statement-queue.test.ts
@@ -7,39 +7,39 @@
 import { countHomes } from '../../../src/placement/upstream-homes.ts'
 import { createStatementQueue, expectedWaitMs } from '../../../src/entry/pools/statement-queue.ts'
 
-/** Kinds of statements: the work of one, how often it comes, and the time for an answer in time. */
+/** Kinds of statements: duration, mean interval between arrivals, and time limit for an answer. */
 const KINDS = [
-  { name: 'change', priority: 1, workMs: 5, everyMs: 27, inTimeMs: 120 },
-  { name: 'own read', priority: 2, workMs: 14, everyMs: 9, inTimeMs: 200 },
-  { name: 'look-up', priority: 2, workMs: 22, everyMs: 50, inTimeMs: 400 }
+  { name: 'change', priority: 1, durationMs: 5, intervalMs: 27, limitMs: 120 },
+  { name: 'own read', priority: 2, durationMs: 14, intervalMs: 9, limitMs: 200 },
+  { name: 'look-up', priority: 2, durationMs: 22, intervalMs: 50, limitMs: 400 }
 ]
 const SLOTS = 2
-const PLAYED_MS = 10_000
+const SIMULATED_MS = 10_000
 const SEED = 77
 
-/** An upstream that runs a few statements at a time, in the order in which they come. */
+/** An upstream that runs a fixed number of statements concurrently, in order of arrival. */
 class BusyUpstream {
   private free = SLOTS
-  private readonly line: Array<() => void> = []
+  private readonly waiting: Array<() => void> = []
 
-  async run (workMs: number): Promise<void> {
+  async run (durationMs: number): Promise<void> {
     if (this.free === 0) {
-      await new Promise<void>((resolve) => { this.line.push(resolve) })
+      await new Promise<void>((resolve) => { this.waiting.push(resolve) })
     } else {
       this.free--
     }
-    await new Promise<void>((resolve) => { setTimeout(resolve, workMs) })
-    const next = this.line.shift()
+    await new Promise<void>((resolve) => { setTimeout(resolve, durationMs) })
+    const next = this.waiting.shift()
     next === undefined ? this.free++ : next()
   }
 }
 
-/** What callers of one kind got. */
-interface Got {
+/** Outcomes of the statements of one kind. */
+interface Outcomes {
   asked: number
   inTime: number
   refused: number
-  /** Longest time after which anyone was refused, in milliseconds. */
+  /** Longest time until a refusal, in milliseconds. */
   refusedAfterMs: number
 }
 
@@ -48,69 +48,70 @@
   beforeEach(() => { clock = fakeTimers.install({ toFake: ['setTimeout', 'clearTimeout', 'performance'] }) })
   afterEach(() => { clock.uninstall() })
 
-  /** Plays 1.15 times the work that the slots can do, through the queues of some hosts or without any. */
-  const play = async (withGates: boolean, homes = 2): Promise<Map<string, Got>> => {
+  /** Simulates a load of 1.15 times the capacity of the slots, with or without the queues of the homes. */
+  const simulate = async (withQueues: boolean, homes = 2): Promise<Map<string, Outcomes>> => {
     const upstream = new BusyUpstream()
     const homeQueues = Array.from({ length: homes }, () => createStatementQueue({
       group: 'g', upstream: 'u', limits: () => ({ slots: SLOTS, homes })
     }))
     const random = xoroshiro128plus(SEED)
-    const got = new Map(KINDS.map(({ name }) => [name, { asked: 0, inTime: 0, refused: 0, refusedAfterMs: 0 }]))
-    const ask = async ({ name, priority, workMs, inTimeMs }: typeof KINDS[number], host: number): Promise<void> => {
-      const mine = got.get(name)!
+    const results = new Map(KINDS.map(({ name }) => [name, { asked: 0, inTime: 0, refused: 0, refusedAfterMs: 0 }]))
+    const submit = async (
+      { name, priority, durationMs, limitMs }: typeof KINDS[number], host: number
+    ): Promise<void> => {
+      const outcomes = results.get(name)!
       const startedAt = performance.now()
-      mine.asked++
+      outcomes.asked++
       try {
-        const leave = withGates
-          ? await homeQueues[host]!.enter({ priority, costMs: workMs, waitMs: inTimeMs / 2 })
+        const leave = withQueues
+          ? await homeQueues[host]!.enter({ priority, costMs: durationMs, waitMs: limitMs / 2 })
           : (): void => {}
-        await upstream.run(workMs)
+        await upstream.run(durationMs)
         leave()
-        mine.inTime += performance.now() - startedAt <= inTimeMs ? 1 : 0
+        outcomes.inTime += performance.now() - startedAt <= limitMs ? 1 : 0
       } catch (thrown) {
         expect(thrown instanceof RequestError && thrown.verdict === 'not-run').toEqual(true)
-        mine.refused++
-        mine.refusedAfterMs = Math.max(mine.refusedAfterMs, performance.now() - startedAt)
+        outcomes.refused++
+        outcomes.refusedAfterMs = Math.max(outcomes.refusedAfterMs, performance.now() - startedAt)
       }
     }
-    for (let elapsed = 0; elapsed < PLAYED_MS; elapsed++) {
-      KINDS.filter(({ everyMs }) => uniformInt(random, 1, everyMs) === 1)
-        .forEach((kind) => { void ask(kind, uniformInt(random, 0, homes - 1)) })
+    for (let elapsed = 0; elapsed < SIMULATED_MS; elapsed++) {
+      KINDS.filter(({ intervalMs }) => uniformInt(random, 1, intervalMs) === 1)
+        .forEach((kind) => { void submit(kind, uniformInt(random, 0, homes - 1)) })
       await clock.tickAsync(1)
     }
     await clock.tickAsync(2000)
-    return got
+    return results
   }
-  const shareInTime = (got: Map<string, Got>): number => {
-    const all = [...got.values()]
+  const fractionInTime = (results: Map<string, Outcomes>): number => {
+    const all = [...results.values()]
     return all.reduce((sum, { inTime }) => sum + inTime, 0) / all.reduce((sum, { asked }) => sum + asked, 0)
   }
 
-  it('serves most callers in time under more work than there are slots for; without it, few are', async () => {
-    const without = await play(false)
-    const withGates = await play(true)
-    expect(shareInTime(without) < 0.5).toEqual(true)
-    expect(shareInTime(withGates) > 0.85).toEqual(true)
-    const urgent = withGates.get('change')!
+  it('serves most statements in time under overload, unlike an upstream without queues', async () => {
+    const without = await simulate(false)
+    const withQueues = await simulate(true)
+    expect(fractionInTime(without) < 0.5).toEqual(true)
+    expect(fractionInTime(withQueues) > 0.85).toEqual(true)
+    const urgent = withQueues.get('change')!
     expect(urgent.inTime / urgent.asked > 0.99).toEqual(true)
   })
 
-  it('serves what is urgent in time at as many homes as the upstream has use for, and not at many more', async () => {
-    const few = (await play(true, countHomes(1000, SLOTS, 1000))).get('change')!
-    const many = (await play(true, 11)).get('change')!
-    // All of 367 with three homes, 268 with eleven.
+  it('serves urgent statements in time at the computed number of homes, but not at many more', async () => {
+    const few = (await simulate(true, countHomes(1000, SLOTS, 1000))).get('change')!
+    const many = (await simulate(true, 11)).get('change')!
     expect(few.inTime / few.asked > 0.97).toEqual(true)
     expect(many.inTime / many.asked < 0.9).toEqual(true)
   })
 
-  it('refuses who cannot be served while another host can still be asked in time', async () => {
-    const got = await play(true)
-    for (const { name, inTimeMs } of KINDS) {
-      expect(got.get(name)!.refusedAfterMs <= inTimeMs / 2 + 1).toEqual(true)
+  it('refuses statements early enough for the caller to try another host', async () => {
+    const results = await simulate(true)
+    for (const { name, limitMs } of KINDS) {
+      expect(results.get(name)!.refusedAfterMs <= limitMs / 2 + 1).toEqual(true)
     }
   })
 
-  it('refuses at once when what goes before takes longer than the wait, and says when to come back', async () => {
+  it('refuses at once if the expected wait exceeds the maximum, and returns the excess as retryAfterMs', async () => {
     const statementQueue = createStatementQueue({ group: 'g', upstream: 'u', limits: () => ({ slots: 1, homes: 1 }) })
     const enter = async (waitMs: number): Promise<() => void> =>
       await statementQueue.enter({ priority: 1, costMs: 100, waitMs })
@@ -127,7 +128,7 @@
     })
   })
 
-  it('lets the next one in when one has ended, the most urgent first, then the shortest', async () => {
+  it('admits the next statement when one has ended, by priority, then by expected duration', async () => {
     const statementQueue = createStatementQueue({ group: 'g', upstream: 'u', limits: () => ({ slots: 1, homes: 2 }) })
     const first = await statementQueue.enter({ priority: 1, costMs: 10, waitMs: 100 })
     await statementQueue.enter({ priority: 1, costMs: 10, waitMs: 100 })
@@ -149,7 +150,7 @@
     expect({ running: statementQueue.running, waiting: statementQueue.waiting }).toEqual({ running: 1, waiting: 0 })
   })
 
-  it('counts only what goes before, shared by the slots that fall to a host', () => {
+  it('divides the durations of the statements ahead by the slots of the host', () => {
     expect(expectedWaitMs([10, 20], { slots: 4, homes: 2 })).toEqual(15)
     expect(expectedWaitMs([10, 20], { slots: 1, homes: 3 })).toEqual(30)
     expect(expectedWaitMs([], { slots: 1, homes: 0 })).toEqual(0)
--- a/test/entry/pools/upstream-pool.test.ts
+++ b/test/entry/pools/upstream-pool.test.ts
@@ -6,17 +6,17 @@
 import type { ConnectionLease } from '../../../src/entry/pools/types.ts'
 import type { UpstreamConnection, UpstreamPort } from '../../../src/entry/ports/index.ts'
 
-/** An upstream that only counts connections. */
+/** Port of an upstream that counts open connections and limits their number. */
 class CountingPort implements UpstreamPort {
-  taken = 0
-  room = Infinity
+  openCount = 0
+  capacity = Infinity
 
   open = async (): Promise<UpstreamConnection> => {
     await new Promise((resolve) => { setTimeout(resolve, 5) })
-    if (this.taken >= this.room) {
+    if (this.openCount >= this.capacity) {
       throw new RequestError('not-run', 'UpstreamRefused', { upstream: 'u', reason: 'too-many-connections' })
     }
-    this.taken++
+    this.openCount++
     const listeners: Array<() => void> = []
     const connection = {
       closed: false,
@@ -27,7 +27,7 @@
       close: () => {
         if (!connection.closed) {
           connection.closed = true
-          this.taken--
+          this.openCount--
           listeners.forEach((listener) => listener())
         }
       }
@@ -49,18 +49,18 @@
     pools.splice(0).forEach((pool) => pool.close())
     clock.uninstall()
   })
-  const createPool = (share = 2, kept = share): UpstreamPool => {
+  const createPool = (maximum = 2, retained = maximum): UpstreamPool => {
     const pool = createUpstreamPool({
       target: { group: 'g', upstream: 'u', endpoint: { address: '127.0.0.1', port: 1 } },
       port,
-      limits: () => ({ kept, share }),
+      limits: () => ({ retained, maximum }),
       events: { onAnswer: () => {}, onFault: () => {} }
     })
     pools.push(pool)
     return pool
   }
   const request = { organisation: 'o', values: new Map<string, string>(), priority: 1, waitMs: 3000 }
-  /** Asks for connections at once; those that are not there within the tick are not waited for. */
+  /** Requests connections concurrently and returns the leases that are granted within 40 ms. */
   const acquire = async (pool: UpstreamPool, count: number): Promise<ConnectionLease[]> => {
     const leases: ConnectionLease[] = []
     for (let index = 0; index < count; index++) {
@@ -70,16 +70,16 @@
     return leases
   }
 
-  it('opens no more than its share, also while the upstream has room', async () => {
+  it('opens no more than its maximum although the upstream has capacity', async () => {
     const pool = createPool()
     const leases = await acquire(pool, 6)
     expect(leases.length).toEqual(2)
     leases.forEach((lease) => lease.release())
     await clock.tickAsync(10_000)
-    expect(port.taken).toEqual(2)
+    expect(port.openCount).toEqual(2)
   })
 
-  it('keeps only a part of its share when idle, so that hosts that come back find room', async () => {
+  it('closes idle connections above the number to retain', async () => {
     const pool = createPool(4, 2)
     const leases = await acquire(pool, 4)
     leases.forEach((lease) => lease.release())
@@ -87,34 +87,34 @@
     expect(pool.size).toEqual(2)
   })
 
-  it('keeps to its share once the upstream had no room, so that every host gets its own', async () => {
-    port.room = 4
+  it('stays within its maximum after the upstream was full', async () => {
+    port.capacity = 4
     const hosts = [createPool(), createPool()]
-    port.taken = 1
+    port.openCount = 1
     const leases: ConnectionLease[] = []
     for (const pool of hosts) {
       leases.push(...await acquire(pool, 6))
     }
     leases.forEach((lease) => lease.release())
-    port.taken--
-    port.room = 5
+    port.openCount--
+    port.capacity = 5
     await clock.tickAsync(6000)
     expect(hosts.map(({ size }) => size <= 2)).toEqual([true, true])
   })
 
-  it('serves those that wait as soon as there is room again', async () => {
-    port.room = 0
+  it('serves waiting requests when the upstream has capacity again', async () => {
+    port.capacity = 0
     const pool = createPool()
     let servedAt = Infinity
     void pool.acquire(request).then(() => { servedAt = performance.now() }, () => {})
     await clock.tickAsync(1000)
-    port.room = 1
+    port.capacity = 1
     await clock.tickAsync(300)
     expect(servedAt < Infinity).toEqual(true)
   })
 
-  it('serves the more urgent first', async () => {
-    port.room = 1
+  it('serves requests by priority', async () => {
+    port.capacity = 1
     const pool = createPool(1)
     const [first] = await acquire(pool, 1)
     const order: string[] = []
@@ -132,7 +132,7 @@
     expect(order).toEqual(['urgent', 'later'])
   })
 
-  it('gives each organisation connections of its own, and closes the one idle for longest to make room', async () => {
+  it('separates connections by organisation, and closes the one idle longest to open another', async () => {
     const pool = createPool(2)
     const take = async (organisation: string): Promise<ConnectionLease> => {
       const lease = pool.acquire({ ...request, organisation })
@@ -147,10 +147,10 @@
     const again = await take('blue')
     expect([again.connection === blue.connection, again.organisation]).toEqual([true, 'blue'])
     const green = await take('green')
-    expect([green.organisation, red.connection.closed, port.taken]).toEqual(['green', true, 2])
+    expect([green.organisation, red.connection.closed, port.openCount]).toEqual(['green', true, 2])
   })
 
-  it('keeps connections of several organisations for longer, since none can take the place of another', async () => {
+  it('retains surplus connections longer if several organisations use the upstream', async () => {
     const pool = createPool(4, 1)
     for (const organisation of ['red', 'blue', 'green']) {
       void pool.acquire({ ...request, organisation }).then((lease) => lease.release())
@@ -161,7 +161,7 @@
     expect(pool.size).toEqual(1)
   })
 
-  it('takes a connection of any organisation for what runs on behalf of none', async () => {
+  it('leases a connection of any organisation to a request without organisation', async () => {
     const pool = createPool(1)
     const red = pool.acquire({ ...request, organisation: 'red' })
     await clock.tickAsync(10)
@@ -171,7 +171,7 @@
     expect(any.connection === lease.connection).toEqual(true)
   })
 
-  it('lets an organisation wait while others hold all connections, and serves it when one comes back', async () => {
+  it('serves a waiting organisation when another one returns a connection', async () => {
     const pool = createPool(1)
     const red = pool.acquire({ ...request, organisation: 'red' })
     await clock.tickAsync(10)
@@ -181,6 +181,6 @@
     expect(servedAt).toEqual(Infinity)
     ;(await red).release()
     await clock.tickAsync(20)
-    expect([servedAt < Infinity, port.taken]).toEqual([true, 1])
+    expect([servedAt < Infinity, port.openCount]).toEqual([true, 1])
   })
 })
--- a/test/entry/process/power-loss.test.ts
+++ b/test/entry/process/power-loss.test.ts
@@ -6,18 +6,18 @@
 
 const HOSTS = ['h1', 'h2', 'h3', 'h4', 'h5', 'h6', 'h7', 'h8', 'h9', 'h10']
 const VIEW: FakeRoute = { database: 'view', group: 'g', freshness: { type: 'bounded', maximumAgeMs: 1500 }, timeoutMs: 800 }
-/** Connections that each upstream takes, for ten hosts. */
+/** Connection cap of each upstream. */
 const CAP = 16
-/** Time for which connections of hosts without power count, in milliseconds. */
+/** Time for which an upstream counts the connections of hosts without power, in milliseconds. */
 const LINGER_MS = 3000
-/** Time after which hosts that have started know the rest, in milliseconds. */
+/** Time for started hosts to discover each other, in milliseconds. */
 const STARTED_MS = 400
 
-describe('ten hosts that have all lost power', () => {
+describe('ten hosts that lose power at once', () => {
   const suite = setUpWorld(HOSTS, [MONEY, VIEW])
   const upstreams = () => [...suite.world.upstreams.all.values()]
-  /** Has each host read and write every 20 ms. */
-  const playLoad = async (durationMs: number): Promise<StatementAnswer[]> => {
+  /** Sends a read and a write to the hosts in turn, every 20 ms. */
+  const generateLoad = async (durationMs: number): Promise<StatementAnswer[]> => {
     const answers: StatementAnswer[] = []
     for (let elapsed = 0; elapsed < durationMs; elapsed += 20) {
       const host = HOSTS[(elapsed / 20) % HOSTS.length]!
@@ -29,22 +29,22 @@
     return answers
   }
 
-  it('are all served again while their former connections still count at the upstreams', async () => {
+  it('are served again while their former connections still count at the upstreams', async () => {
     suite.world.cap = CAP
     suite.world.configure([MONEY, VIEW])
     upstreams().forEach((upstream) => { upstream.maximumConnections = CAP })
     await suite.clock.tickAsync(3000)
-    await playLoad(1000)
+    await generateLoad(1000)
     upstreams().forEach((upstream) => { upstream.formerConnections = upstream.connections.size })
-    const killing = Promise.all(HOSTS.map(async (host) => await suite.world.kill(host)))
+    const kills = Promise.all(HOSTS.map(async (host) => await suite.world.kill(host)))
     await suite.clock.tickAsync(500)
-    await killing
+    await kills
     upstreams().forEach(({ connections }) => [...connections].forEach((connection) => connection.close()))
     for (const host of HOSTS) {
       await suite.world.startHost(host)
     }
     await suite.clock.tickAsync(STARTED_MS)
-    const answers = await playLoad(LINGER_MS - 500 - STARTED_MS - 1000)
+    const answers = await generateLoad(LINGER_MS - 500 - STARTED_MS - 1000)
     const refused = answers.filter(({ failure }) => failure !== undefined)
     expect(answers.length > 100).toEqual(true)
     expect(refused.length <= answers.length * 0.02).toEqual(true)
