--- a/src/emulation/embedded/deployment.ts
+++ b/src/emulation/embedded/deployment.ts
@@ -244,7 +244,7 @@
 async function waitUntilReady ({ proxies }: Deployment): Promise<void> {
   const until = performance.now() + START_TIMEOUT_MS
   const isReady = ({ kernel }: DeployedHost): boolean =>
-    kernel.use('configuration').ready && kernel.use('membership').present('proxy').length >= proxies.length
+    kernel.use('configuration').ready && kernel.use('membership').available('proxy').length >= proxies.length
   while (!proxies.every(isReady)) {
     if (performance.now() > until) {
       throw new Error('the proxies have not become ready in time')
--- a/src/mysql-proxy/failover/notices.ts
+++ b/src/mysql-proxy/failover/notices.ts
@@ -33,7 +33,7 @@
  * @returns the notices
  */
 export function createNotices (membership: Membership, peers: Peers): Notices {
-  const keepersOf = (group: string): Member[] => placeGroup(group, membership.present('keeper'), KEEPERS_PER_GROUP)
+  const keepersOf = (group: string): Member[] => placeGroup(group, membership.available('keeper'), KEEPERS_PER_GROUP)
 
   const notify = (members: Member[], type: string, body: unknown): void => {
     members.filter(({ host }) => host !== membership.self.host).forEach((member) => {
@@ -47,7 +47,7 @@
     spreadEvidence: (group, observation) =>
       notify(keepersOf(group), 'evidence', { ...observation, group, host: membership.self.host }),
     announce: (group, leadership) => {
-      const homes = placeGroup(group, membership.present('proxy'), NOTIFIED_HOMES)
+      const homes = placeGroup(group, membership.available('proxy'), NOTIFIED_HOMES)
       notify([...homes, ...keepersOf(group)], 'leadership', { ...leadership, group })
     }
   }
--- a/src/mysql-proxy/failover/primary-health.ts
+++ b/src/mysql-proxy/failover/primary-health.ts
@@ -48,9 +48,9 @@
       failures = countFailure(failures, failuresNeeded, error)
       return failures >= failuresNeeded
     },
-    observe: (observation) => suspicion.observe(observation),
+    observe: (observation) => suspicion.record(observation),
     isUnreachable: (primary, term) =>
-      isUnreachable({ failures, failuresNeeded, domains: suspicion.domains(primary, term) }),
+      isUnreachable({ failures, failuresNeeded, domains: suspicion.countDomains(primary, term) }),
     reset: () => {
       failures = 0
       suspicion.clear()
--- a/src/mysql-proxy/failover/suspicion.ts
+++ b/src/mysql-proxy/failover/suspicion.ts
@@ -16,7 +16,7 @@
 /** Collects observations of one group. */
 interface Suspicion {
   /** Adds an observation, with this moment as its time. */
-  observe: (observation: Observation) => void
+  record: (observation: Observation) => void
   /**
    * Counts the failure domains that have lately seen an upstream fail in a term.
    *
@@ -24,7 +24,7 @@
    * @param term - the term
    * @returns their number
    */
-  domains: (upstream: string, term: number) => number
+  countDomains: (upstream: string, term: number) => number
   /** Drops all observations, since they concern an older term. */
   clear: () => void
 }
@@ -38,8 +38,8 @@
   const seenAt = new Map<string, number>()
   const keyOf = ({ upstream, term, failureDomain }: Observation): string => `${upstream}\0${term}\0${failureDomain}`
   return {
-    observe: (observation) => seenAt.set(keyOf(observation), performance.now()),
-    domains: (upstream, term) => {
+    record: (observation) => seenAt.set(keyOf(observation), performance.now()),
+    countDomains: (upstream, term) => {
       const now = performance.now()
       for (const [key, at] of seenAt) {
         if (now - at > OBSERVATION_MS) {
--- a/src/mysql-proxy/membership/index.ts
+++ b/src/mysql-proxy/membership/index.ts
@@ -13,7 +13,7 @@
 export interface Membership {
   readonly self: Member
   /** Members that may do work: those that are neither gone nor leaving. */
-  present: (role: Member['role']) => Member[]
+  available: (role: Member['role']) => Member[]
   /** All members that are not gone, those that leave included. */
   known: () => Member[]
   /** Whether a member answered when last tried. */
@@ -42,7 +42,7 @@
 }
 
 /** States in which a member may be given work. */
-const PRESENT_STATES: ReadonlyArray<Member['state']> = ['live', 'suspect']
+const WORK_STATES: ReadonlyArray<Member['state']> = ['live', 'suspect']
 
 registerPlugin({
   name: 'membership',
@@ -85,7 +85,7 @@
     return {
       service: {
         get self () { return opinions.self },
-        present: (role) => list.all().filter((member) => member.role === role && PRESENT_STATES.includes(member.state)),
+        available: (role) => list.all().filter((member) => member.role === role && WORK_STATES.includes(member.state)),
         known: () => list.all().filter((member) => member.state !== 'gone'),
         answers: heartbeats.answers,
         reportFailure: (host) => {
--- a/src/mysql-proxy/operators/commands.ts
+++ b/src/mysql-proxy/operators/commands.ts
@@ -123,7 +123,7 @@
 ): Promise<TableRow[]> {
   operator.demand('change')
   await acceptance.currentGroup(group)
-  const [keeper] = placeGroup(group, sources.membership.present('keeper'), KEEPERS_PER_GROUP)
+  const [keeper] = placeGroup(group, sources.membership.available('keeper'), KEEPERS_PER_GROUP)
   if (keeper === undefined) {
     throw new WorkswardError('InvalidCommand', { reason: 'no keeper is present' })
   }
--- a/src/mysql-proxy/routing/evidence-reports.ts
+++ b/src/mysql-proxy/routing/evidence-reports.ts
@@ -31,7 +31,7 @@
 ): (group: string, upstream: string, term: number) => void {
   return (group, upstream, term) => {
     const evidence = { group, upstream, term, failureDomain, host }
-    placeGroup(group, membership.present('keeper'), KEEPERS_PER_GROUP).forEach((keeper) => {
+    placeGroup(group, membership.available('keeper'), KEEPERS_PER_GROUP).forEach((keeper) => {
       // A lost report isn't resent: keepers also probe upstreams, and the next failed request reports again.
       peers.request(keeper, 'evidence', evidence, REPORT_TIMEOUT_MS).catch(() => {})
     })
--- a/src/mysql-proxy/routing/index.ts
+++ b/src/mysql-proxy/routing/index.ts
@@ -48,7 +48,7 @@
     let draining = false
 
     const placements = createPlacementCache<Member>()
-    const updatePlacements = (): void => placements.update(membership.present('proxy'))
+    const updatePlacements = (): void => placements.update(membership.available('proxy'))
     updatePlacements()
     membership.onChange(updatePlacements)
     const homesOf = (group: string): Member[] =>
--- a/test/mysql-proxy/upstreams/decisions.test.ts
+++ b/test/mysql-proxy/upstreams/decisions.test.ts
@@ -39,20 +39,20 @@
 
   it('forgets observations of a failure that nobody repeats', () => {
     const suspicion = createSuspicion()
-    suspicion.observe({ upstream: 'u', term: 1, failureDomain: 'a' })
-    suspicion.observe({ upstream: 'u', term: 1, failureDomain: 'b' })
-    suspicion.observe({ upstream: 'u', term: 2, failureDomain: 'c' })
-    expect(suspicion.domains('u', 1)).toEqual(2)
+    suspicion.record({ upstream: 'u', term: 1, failureDomain: 'a' })
+    suspicion.record({ upstream: 'u', term: 1, failureDomain: 'b' })
+    suspicion.record({ upstream: 'u', term: 2, failureDomain: 'c' })
+    expect(suspicion.countDomains('u', 1)).toEqual(2)
     clock.tick(1001)
-    expect(suspicion.domains('u', 1)).toEqual(0)
+    expect(suspicion.countDomains('u', 1)).toEqual(0)
   })
 
   it('counts a failure domain once, however often it observes', () => {
     const suspicion = createSuspicion()
     for (let turn = 0; turn < 5; turn++) {
-      suspicion.observe({ upstream: 'u', term: 1, failureDomain: 'a' })
+      suspicion.record({ upstream: 'u', term: 1, failureDomain: 'a' })
     }
-    expect(suspicion.domains('u', 1)).toEqual(1)
+    expect(suspicion.countDomains('u', 1)).toEqual(1)
   })
 
   it('fails at a passed deadline with the verdict of the moment', async () => {
--- a/test/system/transactions.test.ts
+++ b/test/system/transactions.test.ts
@@ -93,7 +93,7 @@
     const domains = deployment.proxies.filter(({ name }) => name !== home)
     const extra = await deployment.addProxy('proxy-extra', domains[0]!.failureDomain)
     const entry = deployment.proxies.indexOf(extra)
-    await until(() => deployment.proxies.every(({ kernel }) => kernel.use('membership').present('proxy').length === 4))
+    await until(() => deployment.proxies.every(({ kernel }) => kernel.use('membership').available('proxy').length === 4))
     const connection = await deployment.connect(entry)
     await connection.query('BEGIN')
     await insert(connection, 'dying-home', 'd1')
