--- a/src/mysql-proxy/failover/choose-successor.ts
+++ b/src/mysql-proxy/failover/choose-successor.ts
@@ -1,69 +1,62 @@
 /**
- * Rule: which upstream is promoted, and in which term?
- *
- * Inputs: the upstreams of a majority that accepted the fence, with the ends of their logs (term and position of the
- * last record), the upstream that an operator or a planned change prefers, and which upstreams are leaving.
- *
- * - The furthest log wins. Every acknowledged write is on a majority, which shares an upstream with the fenced
- *   majority, so the furthest of them has it.
- * - Among equally far ones the preferred upstream comes first, then those that stay, then those that are leaving.
- * - The term is one above every term this keeper has seen led, followed or fenced.
- * - A planned change without a wish prefers the first replica that takes work.
+ * Chooses the upstream to promote and its term. The fenced upstream with the most advanced log is promoted: an
+ * acknowledged write is on a majority, and any two majorities share an upstream. Ties go to the preferred upstream,
+ * then to upstreams that are not leaving.
  */
 import { comparePositions } from '../../positions/position.ts'
 import type { GroupView, UpstreamView } from '../upstreams/group-view.ts'
 import { logEnd, type UpstreamStatus } from '../upstreams/status.ts'
 
-/** An upstream that has accepted a fence, and its status after it. */
-export interface Fenced {
+/** An upstream that accepted a fence, with its status after the fence. */
+export interface FencedUpstream {
   view: UpstreamView
   status: UpstreamStatus
 }
 
-/** Preferences between equally far upstreams. */
+/** Tie-breaking preferences between upstreams whose logs end at the same position. */
 interface SuccessorOptions {
   preferred?: string
   isLeaving: (upstream: string) => boolean
 }
 
-/** Order of equally far upstreams: the greatest first. */
-const RANKS = { leaving: 0, staying: 1, preferred: 2 }
+/** Ranks of upstreams whose logs end at the same position; the highest is promoted. */
+const TIE_BREAK_RANKS = { leaving: 0, staying: 1, preferred: 2 }
 
 /**
  * Chooses the upstream to promote.
  *
- * @param fenced - those that accepted the fence; a majority
- * @param options - preferences between equally far ones
- * @returns the one to promote
+ * @param fenced - upstreams that accepted the fence; at least a majority
+ * @param options - tie-breaking preferences
+ * @returns the upstream with the most advanced log
  */
-export function chooseSuccessor (fenced: Fenced[], { preferred, isLeaving }: SuccessorOptions): Fenced {
-  const rankOf = ({ view: { declaration: { name } } }: Fenced): number => {
+export function chooseSuccessor (fenced: FencedUpstream[], { preferred, isLeaving }: SuccessorOptions): FencedUpstream {
+  const rankOf = ({ view: { declaration: { name } } }: FencedUpstream): number => {
     if (name === preferred) {
-      return RANKS.preferred
+      return TIE_BREAK_RANKS.preferred
     }
-    return isLeaving(name) ? RANKS.leaving : RANKS.staying
+    return isLeaving(name) ? TIE_BREAK_RANKS.leaving : TIE_BREAK_RANKS.staying
   }
   return [...fenced].sort((left, right) =>
     comparePositions(logEnd(right.status), logEnd(left.status)) || rankOf(right) - rankOf(left))[0]!
 }
 
 /**
- * Finds the term of the next primary.
+ * Computes the term of the next primary.
  *
- * @param leadershipTerm - term of the leadership in force
- * @param statuses - last statuses of the upstreams
- * @returns the term
+ * @param leadershipTerm - term of the current primary
+ * @param statuses - last known statuses of the upstreams
+ * @returns one more than the highest term that any upstream has led, followed or been fenced with
  */
 export function nextTerm (leadershipTerm: number, statuses: Array<UpstreamStatus | undefined>): number {
-  const seen = statuses.flatMap((status) => status === undefined ? [] : [status.term, status.fencedTerm])
-  return Math.max(leadershipTerm, ...seen) + 1
+  const knownTerms = statuses.flatMap((status) => status === undefined ? [] : [status.term, status.fencedTerm])
+  return Math.max(leadershipTerm, ...knownTerms) + 1
 }
 
 /**
- * Finds the replica that a planned change prefers.
+ * Finds the default successor for a planned change of primary.
  *
  * @param view - the group
- * @returns its name; undefined when no replica takes work
+ * @returns name of the first replica that accepts work; undefined when there is none
  */
 export function preferredReplica (view: GroupView): string | undefined {
   return view.replicaNames.find((replica) => view.takesWork(replica))
--- a/src/mysql-proxy/failover/election.ts
+++ b/src/mysql-proxy/failover/election.ts
@@ -1,13 +1,13 @@
 /**
- * Makes a primary for a new term. A majority is fenced with the term, so that no older primary can gain an
- * acknowledgement; the furthest of the fenced is promoted, so that nothing acknowledged is lost. No clock,
- * lease or platform call is part of the argument.
+ * Elects a primary for a new term. Fencing a majority with the term prevents older primaries from acknowledging writes;
+ * promoting the fenced upstream with the most advanced log keeps every acknowledged write. Safety does not depend on
+ * clocks, leases or the platform.
  */
 import type { GroupView, UpstreamView } from '../upstreams/group-view.ts'
 import { chooseSuccessor, nextTerm } from './choose-successor.ts'
 import { fenceMajority, fencePrimary } from './fencing.ts'
 
-/** How an election ended. */
+/** Outcome of an election. */
 type ElectionResult =
   | { type: 'promoted', term: number, primary: string }
   | { type: 'failed', term: number, reason: string }
@@ -15,24 +15,24 @@
 /** Options of {@link electPrimary}. */
 interface ElectionOptions {
   view: GroupView
-  /** Chosen when it is as far as the furthest. */
+  /** Upstream to promote when no other log is more advanced. */
   preferred?: string
-  /** Whether the old primary still answers, so that the preferred one may catch up with it first. */
+  /** Whether the old primary is fenced first, so that the preferred upstream can catch up with it. */
   planned: boolean
 }
 
 /**
- * Makes a primary.
+ * Elects a primary.
  *
- * @param options - the group, and who is preferred
- * @returns the new leadership, or why there is none
+ * @param options - the group and the preferred upstream
+ * @returns the new term and primary, or the reason for the failure
  */
 export async function electPrimary ({ view, preferred, planned }: ElectionOptions): Promise<ElectionResult> {
   const statuses = [...view.upstreams.values()].map(({ channel }) => channel.latest?.status)
   const term = nextTerm(view.leadership.term, statuses)
   const fence = { view, term, preferred }
-  const held = planned ? await fencePrimary(fence) : undefined
-  const fenced = await fenceMajority(fence, held)
+  const fencedPrimary = planned ? await fencePrimary(fence) : undefined
+  const fenced = await fenceMajority(fence, fencedPrimary)
   if (fenced.length < view.majority) {
     return { type: 'failed', term, reason: `only ${fenced.length} of ${view.upstreams.size} upstreams were fenced` }
   }
@@ -41,40 +41,40 @@
   if (!await promote(successor.view, term)) {
     return { type: 'failed', term, reason: `${primary} did not take the promotion, or another term came first` }
   }
-  followAll(view, primary, term)
+  repointOthers(view, primary, term)
   return { type: 'promoted', term, primary }
 }
 
 /**
- * Lets an upstream follow the primary.
+ * Tells an upstream to replicate from the primary. Errors are ignored.
  *
  * @param upstream - the upstream
  * @param primary - name of the primary
- * @param term - its term
+ * @param term - term of the primary
  */
-export async function follow (upstream: UpstreamView, primary: string, term: number): Promise<void> {
+export async function repointUpstream (upstream: UpstreamView, primary: string, term: number): Promise<void> {
   try {
     await upstream.channel.command('follow', [primary, term])
   } catch {
-    // An upstream that does not answer is asked again by the next full round of probes (followStragglers).
+    // Retried after the next full round of probes; see `repointReplicas`.
   }
 }
 
-/** Promotes an upstream; when the answer is lost, its status shows whether it leads the term. */
+/** Promotes an upstream; if the command fails, reads its status to find out whether the promotion took effect. */
 async function promote ({ channel }: UpstreamView, term: number): Promise<boolean> {
   try {
     return (await channel.command('promote', [term])).accepted
   } catch {
-    // The answer is lost. Without a status the promotion counts as failed, and the next election takes a higher term.
+    // Without a status the promotion counts as failed, and the next election uses a higher term.
     const observed = await channel.fresh().catch(() => undefined)
     return observed?.status.term === term && observed.status.role === 'primary'
   }
 }
 
-function followAll (view: GroupView, primary: string, term: number): void {
+function repointOthers (view: GroupView, primary: string, term: number): void {
   for (const upstream of view.upstreams.values()) {
     if (upstream.declaration.name !== primary) {
-      void follow(upstream, primary, term)
+      void repointUpstream(upstream, primary, term)
     }
   }
 }
--- a/src/mysql-proxy/failover/elections.ts
+++ b/src/mysql-proxy/failover/elections.ts
@@ -1,4 +1,4 @@
-/** Runs the elections of a group, one at a time; logs and announces their outcome. Owns the count of promotions. */
+/** Runs the elections of a group one at a time, logs their outcome and announces new primaries. */
 import type { Logger } from '../../core/logger/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import type { GroupView, Leadership } from '../upstreams/group-view.ts'
@@ -9,46 +9,47 @@
   name: string
   view: GroupView
   logger: Logger
-  /** Greatest pause after an election that failed, in milliseconds; the setting `watch.staggerMs`. */
+  /** Maximum random pause after a failed election, in milliseconds; the setting `watch.staggerMs`. */
   staggerMs: number
-  /** Announces a new primary to homes and keepers. */
+  /** Announces a new primary to homes and other keepers. */
   announce: (leadership: Leadership) => void
 }
 
-/** Why a primary is made. */
-interface ElectionOrder {
+/** Parameters of one election. */
+interface ElectionRequest {
+  /** Logged with the start of the election. */
   reason: string
-  /** Upstream that should lead, if it can. */
+  /** Upstream to promote when no other log is more advanced. */
   preferred?: string
-  /** Whether the old primary hands over in order. */
+  /** Whether the old primary is fenced first, so that the preferred upstream can catch up with it. */
   planned: boolean
 }
 
 /** Elections of a group. */
 export interface Elections {
   readonly inProgress: boolean
-  /** Primaries that were made here. */
+  /** Number of successful elections run by this keeper. */
   readonly promotions: number
   /**
-   * Makes a primary, unless one is being made.
+   * Runs an election, unless one is in progress.
    *
-   * @param order - the reason, and the preferred upstream
-   * @returns the outcome, as a text for the operator
+   * @param request - the reason and the preferred upstream
+   * @returns description of the outcome for the operator
    */
-  run: (order: ElectionOrder) => Promise<string>
+  run: (request: ElectionRequest) => Promise<string>
 }
 
 /**
  * Creates the elections of a group.
  *
- * @param options - the group, and how a new primary is announced
+ * @param options - the group and the announcement callback
  * @returns the elections
  */
 export function createElections ({ name, view, logger, staggerMs, announce }: ElectionsOptions): Elections {
   let inProgress = false
   let promotions = 0
 
-  const elect = async ({ reason, preferred, planned }: ElectionOrder): Promise<string> => {
+  const elect = async ({ reason, preferred, planned }: ElectionRequest): Promise<string> => {
     logger.log('warn', 'failover.started', { group: name, reason, term: view.leadership.term })
     const result = await electPrimary({ view, preferred, planned })
     if (result.type === 'failed') {
@@ -65,12 +66,12 @@
   return {
     get inProgress () { return inProgress },
     get promotions () { return promotions },
-    run: async (order) => {
+    run: async (request) => {
       if (inProgress) {
         return 'another change of primary is in progress'
       }
       inProgress = true
-      return await elect(order).finally(() => { inProgress = false })
+      return await elect(request).finally(() => { inProgress = false })
     }
   }
 }
--- a/src/mysql-proxy/failover/fencing.ts
+++ b/src/mysql-proxy/failover/fencing.ts
@@ -1,66 +1,70 @@
 /**
- * Fences upstreams with a term: from then on they neither follow nor take writes below it. Relies on the upstreams,
- * each of which accepts a term once.
+ * Fences upstreams with a term. A fenced upstream rejects writes and replication from lower terms, and accepts each
+ * term only once.
  */
 import { Deadline, within } from '../../core/time/deadline.ts'
 import { comparePositions } from '../../positions/position.ts'
 import type { GroupView } from '../upstreams/group-view.ts'
 import { logEnd } from '../upstreams/status.ts'
-import type { Fenced } from './choose-successor.ts'
+import type { FencedUpstream } from './choose-successor.ts'
 
-/** Time for the fencing of a majority, in milliseconds. */
+/** Time limit for fencing a majority, in milliseconds. */
 const FENCE_TIMEOUT_MS = 500
-/** Time a planned successor has to catch up, in milliseconds. */
-const CATCH_UP_MS = 1000
+/** Time limit for a planned successor to catch up with the old primary, in milliseconds. */
+const CATCH_UP_TIMEOUT_MS = 1000
 
-/** A fence to be set. */
-interface Fence {
+/** Parameters of a fence. */
+interface FenceRequest {
   view: GroupView
   term: number
-  /** Upstream that should lead, if there is one. */
+  /** Preferred successor, if any. */
   preferred?: string
 }
 
 /**
- * Fences the old primary alone and lets the preferred successor catch up with it, or the old one would be the furthest.
+ * Fences the old primary and waits until the preferred successor has replicated its log. Otherwise the old primary
+ * would have the most advanced log and win the election.
  *
- * @param fence - group, term and successor
- * @returns the old primary; undefined when it, or the successor, is unknown or does not answer
+ * @param request - group, term and successor
+ * @returns the old primary; undefined when it rejects the fence, or when either upstream is unknown or times out
  */
-export async function fencePrimary ({ view, term, preferred }: Fence): Promise<Fenced | undefined> {
-  const old = view.usablePrimary
+export async function fencePrimary ({ view, term, preferred }: FenceRequest): Promise<FencedUpstream | undefined> {
+  const oldPrimary = view.usablePrimary
   const successor = view.upstreams.get(preferred ?? '')
-  if (old === undefined || successor === undefined) {
+  if (oldPrimary === undefined || successor === undefined) {
     return undefined
   }
   try {
-    const { accepted, status } = await old.channel.command('fence', [term])
+    const { accepted, status } = await oldPrimary.channel.command('fence', [term])
     if (!accepted) {
       return undefined
     }
     const end = logEnd(status)
     await successor.channel.waitUntil(
-      (candidate) => comparePositions(logEnd(candidate), end) >= 0, new Deadline(CATCH_UP_MS))
-    return { view: old, status }
+      (candidate) => comparePositions(logEnd(candidate), end) >= 0, new Deadline(CATCH_UP_TIMEOUT_MS))
+    return { view: oldPrimary, status }
   } catch {
-    // The old primary does not answer: the election goes on with the majority, as after a failure.
+    // The election continues without the old primary, as in an unplanned failover.
     return undefined
   }
 }
 
 /**
- * Fences until a majority has accepted, and the preferred upstream too; waits a bounded time for those that are silent.
+ * Fences all upstreams and waits until a majority and the preferred upstream have accepted, for at most
+ * {@link FENCE_TIMEOUT_MS}.
  *
- * @param fence - group, term and successor
- * @param held - the old primary when it is fenced already
- * @returns those that accepted in time
+ * @param request - group, term and successor
+ * @param fencedPrimary - the old primary, if it is already fenced
+ * @returns upstreams that accepted in time; may be less than a majority
  */
-export async function fenceMajority ({ view, term, preferred }: Fence, held: Fenced | undefined): Promise<Fenced[]> {
-  const fenced: Fenced[] = held === undefined ? [] : [held]
-  const others = [...view.upstreams.values()].filter((upstream) => upstream !== held?.view)
+export async function fenceMajority (
+  { view, term, preferred }: FenceRequest, fencedPrimary: FencedUpstream | undefined
+): Promise<FencedUpstream[]> {
+  const fenced: FencedUpstream[] = fencedPrimary === undefined ? [] : [fencedPrimary]
+  const others = [...view.upstreams.values()].filter((upstream) => upstream !== fencedPrimary?.view)
   const hasPreferred = (): boolean =>
     preferred === undefined || fenced.some((candidate) => candidate.view.declaration.name === preferred)
-  const enough = new Promise<void>((resolve) => {
+  const sufficient = new Promise<void>((resolve) => {
     const attempts = others.map(async (upstream) => {
       const { accepted, status } = await upstream.channel.command('fence', [term])
       if (accepted) {
@@ -72,6 +76,6 @@
     })
     void Promise.allSettled(attempts).then(() => resolve())
   })
-  await within(enough, FENCE_TIMEOUT_MS)
+  await within(sufficient, FENCE_TIMEOUT_MS)
   return [...fenced]
 }
--- a/src/mysql-proxy/failover/group-watch.ts
+++ b/src/mysql-proxy/failover/group-watch.ts
@@ -1,7 +1,6 @@
 /**
- * Watches one group: probes its upstreams, records what this keeper and others observe of its primary, and acts after
- * each round. Owns the group's view in this process; relies on `probes.ts`, `primary-health.ts`, `watch-actions.ts` and
- * `elections.ts`.
+ * Watches one group: probes its upstreams, collects observations that its primary does not answer, and starts elections
+ * and repairs. Owns the group's view in the keeper process.
  */
 import type { Group, KeeperSettings } from '../../core/config/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -22,28 +21,28 @@
   settings: KeeperSettings
   dialer: Dialer
   logger: Logger
-  /** Place of this keeper among the keepers of the group, from 0; the first acts first. */
+  /** Rank of this keeper among the keepers of the group; 0 acts first. */
   rank: () => number
-  /** Sends an observation to the other keepers of the group. */
-  spreadEvidence: (observation: Observation) => void
-  /** Announces a new primary to homes and keepers. */
+  /** Sends a failure observation to the other keepers of the group. */
+  broadcastObservation: (observation: Observation) => void
+  /** Announces a new primary to homes and other keepers. */
   announce: (leadership: Leadership) => void
 }
 
 /** A watched group. */
 export interface GroupWatch {
-  /** Records the observation of another process. */
-  hear: (observation: Observation) => void
-  /** Records a new primary that another process announced. */
-  hearLeadership: (leadership: Leadership) => void
+  /** Records a failure observation of another process. */
+  recordObservation: (observation: Observation) => void
+  /** Records a new primary announced by another process. */
+  recordLeadership: (leadership: Leadership) => void
   /**
    * Changes the primary at an operator's request.
    *
-   * @param upstream - the wanted primary; a replica that takes work when absent
-   * @returns the outcome, as a text for the operator
+   * @param upstream - the new primary; by default the first replica that accepts work
+   * @returns description of the outcome for the operator
    */
   promote: (upstream?: string) => Promise<string>
-  /** Replaces the declarations. */
+  /** Applies changed declarations of the group. */
   update: (group: Group) => void
   dump: () => unknown
   close: () => void
@@ -52,7 +51,7 @@
 /**
  * Starts watching a group.
  *
- * @param options - the group, and how observations and new primaries are sent on
+ * @param options - the group and the callbacks for observations and new primaries
  * @returns the watch
  */
 export function createGroupWatch (options: GroupWatchOptions): GroupWatch {
@@ -73,7 +72,7 @@
       logger.log('info', 'failover.leadership', { group: name, term, primary })
     }
   })
-  const probes = createProbes(view, health.answered)
+  const probes = createProbes(view, health.recordAnswer)
   const elections = createElections({ name, view, logger, staggerMs, announce })
   const actions = createWatchActions({
     name, view, health, elections, logger, staggerMs, rank, group: () => state.group, isClosed: () => state.closed
@@ -81,36 +80,36 @@
 
   const recordFailure = (upstream: string, error: Error): void => {
     const { primary, term } = view.leadership
-    if (upstream !== primary || !health.failed(error)) {
+    if (upstream !== primary || !health.recordFailure(error)) {
       return
     }
     const observation = { upstream, term, failureDomain: settings.host.failureDomain }
-    health.observe(observation)
-    options.spreadEvidence(observation)
+    health.recordObservation(observation)
+    options.broadcastObservation(observation)
     void actions.electIfNeeded()
   }
 
-  const watch = async (): Promise<void> => {
+  const runProbeLoop = async (): Promise<void> => {
     while (!state.closed) {
-      const full = await probes.runRound()
+      const isFullRound = await probes.runRound()
       await actions.electIfNeeded()
-      if (full) {
+      if (isFullRound) {
         await actions.repair()
         await actions.handOverIfLeaving()
       }
       await pause(probeMs)
     }
   }
-  void watch()
+  void runProbeLoop()
 
   return {
-    hear: (observation) => {
-      health.observe(observation)
+    recordObservation: (observation) => {
+      health.recordObservation(observation)
       void actions.electIfNeeded()
     },
-    hearLeadership: (leadership) => view.announce(leadership),
+    recordLeadership: (leadership) => view.announce(leadership),
     promote: async (upstream) => await elections.run({
-      reason: 'an operator ordered it', preferred: upstream ?? preferredReplica(view), planned: true
+      reason: 'requested by an operator', preferred: upstream ?? preferredReplica(view), planned: true
     }),
     update: (group) => {
       state.group = group
--- a/src/mysql-proxy/failover/index.ts
+++ b/src/mysql-proxy/failover/index.ts
@@ -1,6 +1,6 @@
 /**
- * Plug-in `failover`: watches the groups placed on this keeper and makes new primaries. Wires watches to membership,
- * configuration and peers.
+ * Plug-in `failover`: watches the groups assigned to this keeper and elects their primaries. Connects the watches to
+ * membership, configuration and peers.
  */
 import { RequestError } from '../../core/errors/index.ts'
 import type { Group, KeeperSettings } from '../../core/config/index.ts'
@@ -12,7 +12,7 @@
 
 /** Service of the plug-in. */
 interface Failover {
-  /** Groups watched here. */
+  /** Groups watched by this keeper, by name. */
   watches: () => Map<string, GroupWatch>
 }
 
@@ -20,8 +20,8 @@
   interface Services { failover: Failover }
 }
 
-/** Time between two checks of which groups are placed here, in milliseconds. */
-const PLACEMENT_MS = 500
+/** Interval at which watches are matched to the assigned groups, in milliseconds. */
+const RECONCILE_INTERVAL_MS = 500
 
 registerPlugin({
   name: 'failover',
@@ -39,21 +39,21 @@
       dialer: context.dialer,
       logger: context.logger,
       rank: () => Math.max(0, notices.keepersOf(name).findIndex(({ host }) => host === settings.host.name)),
-      spreadEvidence: (observation) => notices.spreadEvidence(name, observation),
+      broadcastObservation: (observation) => notices.broadcastObservation(name, observation),
       announce: (leadership) => notices.announce(name, leadership)
     })
-    const { watches, place, close } = createWatchedGroups({
+    const { watches, reconcile, close } = createWatchedGroups({
       host: settings.host.name, configuration, keepersOf: notices.keepersOf, startWatch
     })
 
-    const timer = setInterval(place, PLACEMENT_MS)
+    const timer = setInterval(reconcile, RECONCILE_INTERVAL_MS)
     timer.unref()
-    membership.onChange(place)
+    membership.onChange(reconcile)
     configuration.onChange(({ name, group }) => {
       if (group !== null) {
         watches.get(name)?.update(group)
       }
-      place()
+      reconcile()
     })
     handlePeerRequests(context, watches)
 
@@ -68,17 +68,17 @@
   }
 })
 
-/** Observations, announcements and operators' requests reach the watch of their group, if it is watched here. */
+/** Dispatches observations, announcements and promotion requests from peers to the watch of their group. */
 function handlePeerRequests (context: PluginContext, watches: Map<string, GroupWatch>): void {
   const peers = context.use('peers')
   peers.handle('evidence', async (body) => {
     const { group, ...observation } = evidenceSchema.parse(body)
-    watches.get(group)?.hear(observation)
+    watches.get(group)?.recordObservation(observation)
     return true
   })
   peers.handle('leadership', async (body) => {
     const { group, ...leadership } = leadershipNoticeSchema.parse(body)
-    watches.get(group)?.hearLeadership(leadership)
+    watches.get(group)?.recordLeadership(leadership)
     return true
   })
   peers.handle('promote', async (body) => {
--- a/src/mysql-proxy/failover/primary-health.ts
+++ b/src/mysql-proxy/failover/primary-health.ts
@@ -1,54 +1,51 @@
-/**
- * Whether the primary of a group answers: this keeper's failed questions in a row, and the observations of others. Owns
- * both; `unreachable.ts` has the rule.
- */
+/** Tracks the health of a group's primary: consecutive failed probes of this keeper, and observations of others. */
 import { createSuspicion, type Observation } from './suspicion.ts'
 import { countFailure, isUnreachable } from './unreachable.ts'
 
-/** Health of one group's primary. */
+/** Health of a group's primary. */
 export interface PrimaryHealth {
-  /** Failed questions of this keeper in a row. */
+  /** Consecutive failures of this keeper, as counted by `countFailure`. */
   readonly failures: number
-  /** Resets the failures after an answer. */
-  answered: () => void
+  /** Resets the count of failures after a successful probe. */
+  recordAnswer: () => void
   /**
-   * Counts a failed question.
+   * Counts a failed probe.
    *
-   * @param error - why it failed
-   * @returns whether there are enough in a row for an observation
+   * @param error - cause of the failure
+   * @returns whether the count has reached the threshold for an observation
    */
-  failed: (error: Error) => boolean
-  /** Adds an observation of this keeper or of another observer. */
-  observe: (observation: Observation) => void
+  recordFailure: (error: Error) => boolean
+  /** Adds a failure observation of this keeper or of another process. */
+  recordObservation: (observation: Observation) => void
   /**
-   * Decides whether the primary of a term is unreachable.
+   * Decides whether a primary is unreachable.
    *
-   * @param primary - its name
-   * @param term - the term
-   * @returns whether it is
+   * @param primary - name of the upstream
+   * @param term - term that it leads
+   * @returns whether it is unreachable
    */
   isUnreachable: (primary: string, term: number) => boolean
-  /** Starts anew with another primary. */
+  /** Discards failures and observations after a change of primary. */
   reset: () => void
 }
 
 /**
- * Creates the health of a primary that has not failed.
+ * Creates a health tracker without failures.
  *
- * @param failuresNeeded - failed questions in a row that make an observation
- * @returns the health
+ * @param failuresNeeded - consecutive failures that make an observation
+ * @returns the tracker
  */
 export function createPrimaryHealth (failuresNeeded: number): PrimaryHealth {
   const suspicion = createSuspicion()
   let failures = 0
   return {
     get failures () { return failures },
-    answered: () => { failures = 0 },
-    failed: (error) => {
+    recordAnswer: () => { failures = 0 },
+    recordFailure: (error) => {
       failures = countFailure(failures, failuresNeeded, error)
       return failures >= failuresNeeded
     },
-    observe: (observation) => suspicion.record(observation),
+    recordObservation: (observation) => suspicion.record(observation),
     isUnreachable: (primary, term) =>
       isUnreachable({ failures, failuresNeeded, domains: suspicion.countDomains(primary, term) }),
     reset: () => {
--- a/src/mysql-proxy/failover/probes.ts
+++ b/src/mysql-proxy/failover/probes.ts
@@ -1,18 +1,18 @@
 /**
- * Probes the upstreams of one group round after round: the primary in every round, the replicas in full rounds. Owns
- * the count of rounds; what a probe returns arrives in the group's view.
+ * Probes the upstreams of one group in rounds: the primary in every round, the replicas in full rounds only. The view
+ * of the group receives the results.
  */
 import type { GroupView } from '../upstreams/group-view.ts'
 
-/** Rounds after which all upstreams are probed, not the primary alone. */
-const FULL_ROUND = 5
+/** Every n-th round is a full one. */
+const FULL_ROUND_INTERVAL = 5
 
-/** Probes of one group. */
+/** Prober of one group. */
 interface Probes {
   /**
-   * Runs a round of probes and waits for its answers.
+   * Runs one round and waits for all probes to finish.
    *
-   * @returns whether it was a full one
+   * @returns whether the round was a full one
    */
   runRound: () => Promise<boolean>
   /** Makes the next round a full one. */
@@ -20,11 +20,11 @@
 }
 
 /**
- * Creates the probes of a group.
+ * Creates the prober of a group.
  *
  * @param view - the group
- * @param onPrimaryAnswer - called when the primary has answered
- * @returns the probes
+ * @param onPrimaryAnswer - called after each successful probe of the primary
+ * @returns the prober
  */
 export function createProbes (view: GroupView, onPrimaryAnswer: () => void): Probes {
   let round = 0
@@ -32,7 +32,7 @@
 
   const probePrimary = async (): Promise<void> => {
     const channel = view.upstreams.get(view.leadership.primary)?.channel
-    // A failure is counted by the view's `onFailure`.
+    // Failures are counted by the view's `onFailure`.
     await channel?.fresh().then(onPrimaryAnswer, () => {})
   }
 
@@ -44,7 +44,7 @@
   return {
     runRound: async () => {
       round++
-      const full = round % FULL_ROUND === 0 || fullRequested || view.usablePrimary === undefined
+      const full = round % FULL_ROUND_INTERVAL === 0 || fullRequested || view.usablePrimary === undefined
       fullRequested = false
       await Promise.allSettled([probePrimary(), full ? probeReplicas() : undefined])
       return full
--- a/src/mysql-proxy/failover/types.ts
+++ b/src/mysql-proxy/failover/types.ts
@@ -1,19 +1,19 @@
-/** Forms of the notices about primaries between keepers and proxies. */
+/** Messages about primaries between keepers and proxies. */
 import * as z from 'zod'
 
 /**
- * Keepers that watch each group, in different failure domains where there are enough. One may fail and two failure
- * domains can still report a primary.
+ * Number of keepers that watch each group, spread over failure domains where possible. With three, two failure domains
+ * can still report a primary after one keeper has failed.
  */
 export const KEEPERS_PER_GROUP = 3
 
-/** An observation that an upstream does not answer. */
+/** Notice that an upstream does not answer. */
 export const evidenceSchema = z.object({
   group: z.string(),
   upstream: z.string(),
-  /** Term the observer believed the upstream to lead. */
+  /** Term that the observer expects the upstream to lead. */
   term: z.number().int(),
-  /** Where the observer is. */
+  /** Failure domain of the observer. */
   failureDomain: z.string(),
   host: z.string()
 })
@@ -25,5 +25,5 @@
   primary: z.string()
 })
 
-/** An operator's request for another primary. */
+/** Request of an operator to change the primary. */
 export const promotionWishSchema = z.object({ group: z.string(), upstream: z.string().optional() })
--- a/src/mysql-proxy/failover/unreachable.ts
+++ b/src/mysql-proxy/failover/unreachable.ts
@@ -1,37 +1,31 @@
 /**
- * Rule: when does a primary count as unreachable?
- *
- * Inputs: the cause of each failed status question (one is sent each `probeMs`, and fails after `timeoutMs`, both in
- * milliseconds), the setting `failures` (questions in a row), and the failure domains that have reported the primary.
- *
- * A question that nobody answered adds one failure; a connection that was refused, reset or ended adds all that are
- * needed, since the process behind it is down and further questions would only cost time. With `failures` in a row this
- * keeper reports an observation. The primary counts as unreachable when this keeper has that many failures itself and
- * observers in {@link REQUIRED_DOMAINS} failure domains have reported it in this term: one cut link is no reason for a
- * failover.
+ * Decides when a primary is unreachable: this keeper has counted enough consecutive failures, and observers in
+ * {@link REQUIRED_DOMAINS} failure domains have reported the primary in its term, so that a single broken link does not
+ * cause a failover.
  */
 import { ConnectionLostError } from '../../mysql/connection-lost.ts'
 
-/** Failure domains that must report a primary: the least number that a single cut link cannot reach. */
+/** Number of failure domains that must report a primary; more than a single broken link can affect. */
 export const REQUIRED_DOMAINS = 2
 
-/** What is known of a primary's failures. */
+/** Failures of a primary. */
 interface PrimaryFailures {
-  /** Failed questions of this keeper in a row, as counted by {@link countFailure}. */
+  /** Consecutive failures of this keeper, as counted by {@link countFailure}. */
   failures: number
-  /** Failures in a row that are needed. */
+  /** Threshold of consecutive failures. */
   failuresNeeded: number
-  /** Failure domains with a recent observation. */
+  /** Number of failure domains with a recent observation. */
   domains: number
 }
 
 /**
- * Counts a failed status question.
+ * Counts a failed status request. A refused, reset or closed connection reaches the threshold at once, since the
+ * process is down; any other error counts as one failure.
  *
- * @param failures - failures in a row so far
- * @param failuresNeeded - failures in a row that make an observation
- * @param error - why the question failed
- * @returns the failures in a row with this one
+ * @param failures - consecutive failures so far
+ * @param failuresNeeded - threshold of consecutive failures
+ * @param error - cause of the failure
+ * @returns the new count
  */
 export function countFailure (failures: number, failuresNeeded: number, error: Error): number {
   const processIsDown = error instanceof ConnectionLostError && error.lossCause !== 'other'
@@ -39,10 +33,10 @@
 }
 
 /**
- * Decides whether a primary counts as unreachable.
+ * Decides whether a primary is unreachable.
  *
- * @param known - its failures
- * @returns whether it does
+ * @param primaryFailures - failures of the primary
+ * @returns whether it is unreachable
  */
 export function isUnreachable ({ failures, failuresNeeded, domains }: PrimaryFailures): boolean {
   return failures >= failuresNeeded && domains >= REQUIRED_DOMAINS
--- a/src/mysql-proxy/failover/watch-actions.ts
+++ b/src/mysql-proxy/failover/watch-actions.ts
@@ -1,6 +1,6 @@
 /**
- * What a keeper does for one group after a round of probes: it replaces a primary that is unreachable or leaves, and
- * repairs upstreams that do not follow. `when-to-act.ts` and `choose-successor.ts` have the rules.
+ * Actions of a keeper after a round of probes: replaces a primary that is unreachable or leaving, and repoints replicas
+ * that do not follow the primary.
  */
 import type { Group } from '../../core/config/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -9,8 +9,8 @@
 import { preferredReplica } from './choose-successor.ts'
 import type { Elections } from './elections.ts'
 import type { PrimaryHealth } from './primary-health.ts'
-import { followStragglers } from './stragglers.ts'
-import { findElectionReason, isStuck, mayHandOver, staggerOf } from './when-to-act.ts'
+import { repointReplicas } from './repoint-replicas.ts'
+import { computeElectionDelay, findElectionReason, isElectionStalled, mayHandOver } from './when-to-act.ts'
 
 /** Options of {@link createWatchActions}. */
 interface WatchActionsOptions {
@@ -19,46 +19,46 @@
   health: PrimaryHealth
   elections: Elections
   logger: Logger
-  /** Wait per place among the keepers, in milliseconds. */
+  /** Election delay per rank, in milliseconds. */
   staggerMs: number
-  /** Place of this keeper among the keepers of the group, from 0. */
+  /** Rank of this keeper among the keepers of the group, from 0. */
   rank: () => number
-  /** The declarations in force. */
+  /** Current declarations of the group. */
   group: () => Group
   isClosed: () => boolean
 }
 
 /** Actions of a keeper for one group. */
 interface WatchActions {
-  /** Term in which the duty `observe` logged a promotion last; -1 when it never did. */
+  /** Last term for which the duty `observe` logged a promotion; -1 before the first. */
   readonly reportedTerm: number
-  /** Runs an election if one is needed; called after each round of probes and after each observation of others. */
+  /** Runs an election if one is needed. */
   electIfNeeded: () => Promise<void>
-  /** Lets stragglers follow, and finishes an election that its keeper left. */
+  /** Repoints replicas, and reruns an election that another keeper did not finish. */
   repair: () => Promise<void>
-  /** Replaces a primary that leaves by a replica that stays. */
+  /** Replaces a leaving primary by a replica that accepts work. */
   handOverIfLeaving: () => Promise<void>
 }
 
 /**
  * Creates the actions for one group.
  *
- * @param options - the group, its state, and the elections
+ * @param options - the group, its health and its elections
  * @returns the actions
  */
 export function createWatchActions (options: WatchActionsOptions): WatchActions {
   const { name, view, health, elections, logger, staggerMs, rank, group } = options
-  let stuckRounds = 0
-  let acting = false
+  let stalledRounds = 0
+  let isElecting = false
   let reportedTerm = -1
 
   const findReason = (): string | undefined => {
     const { primary, term } = view.leadership
     const deposed = view.upstreams.get(primary)?.deposed === true
-    return findElectionReason({ term, deposed, stuckRounds, unreachable: health.isUnreachable(primary, term) })
+    return findElectionReason({ term, deposed, stalledRounds, unreachable: health.isUnreachable(primary, term) })
   }
 
-  const reportOnce = (term: number, reason: string): void => {
+  const logOncePerTerm = (term: number, reason: string): void => {
     if (group().duties.promotion === 'observe' && reportedTerm !== term) {
       reportedTerm = term
       logger.log('warn', 'failover.would-promote', { group: name, term, reason })
@@ -72,10 +72,10 @@
     }
     const { term } = view.leadership
     if (group().duties.promotion !== 'act') {
-      reportOnce(term, reason)
+      logOncePerTerm(term, reason)
       return
     }
-    await pause(staggerOf(rank(), staggerMs, Math.random()))
+    await pause(computeElectionDelay(rank(), staggerMs, Math.random()))
     if (!options.isClosed() && view.leadership.term === term && findReason() !== undefined) {
       await elections.run({ reason, planned: false })
     }
@@ -84,22 +84,22 @@
   return {
     get reportedTerm () { return reportedTerm },
     electIfNeeded: async () => {
-      if (acting) {
+      if (isElecting) {
         return
       }
-      acting = true
-      await elect().finally(() => { acting = false })
+      isElecting = true
+      await elect().finally(() => { isElecting = false })
     },
     repair: async () => {
       const { primary, term } = view.leadership
       if (group().duties.promotion !== 'act' || term === 0 || elections.inProgress) {
         return
       }
-      stuckRounds = await followStragglers(view) ? stuckRounds + 1 : 0
-      if (isStuck(stuckRounds) && rank() === 0 && view.usablePrimary !== undefined) {
-        stuckRounds = 0
+      stalledRounds = await repointReplicas(view) ? stalledRounds + 1 : 0
+      if (isElectionStalled(stalledRounds) && rank() === 0 && view.usablePrimary !== undefined) {
+        stalledRounds = 0
         await elections.run({
-          reason: 'an upstream was fenced by an election that did not end', preferred: primary, planned: false
+          reason: 'an upstream is fenced by an unfinished election', preferred: primary, planned: false
         })
       }
     },
--- a/src/mysql-proxy/failover/watched-groups.ts
+++ b/src/mysql-proxy/failover/watched-groups.ts
@@ -1,7 +1,4 @@
-/**
- * The groups that are placed on this keeper, each with its watch. Owns the watches; relies on the placement among the
- * keepers and on the declarations in force.
- */
+/** Starts and closes group watches, so that they match the groups assigned to this keeper. */
 import type { Group } from '../../core/config/index.ts'
 import type { Configuration } from '../configuration/index.ts'
 import type { Member } from '../membership/types.ts'
@@ -12,25 +9,26 @@
   /** Name of this host. */
   host: string
   configuration: Pick<Configuration, 'group' | 'versions'>
-  /** Keepers of a group, the first one to act first. */
+  /** Returns the keepers of a group by rank. */
   keepersOf: (group: string) => Member[]
   /** Starts watching a group. */
   startWatch: (name: string, group: Group) => GroupWatch
 }
 
-/** The watched groups of a keeper. */
+/** Groups watched by a keeper. */
 interface WatchedGroups {
+  /** Watches by name of the group. */
   readonly watches: Map<string, GroupWatch>
-  /** Starts and ends watches, so that they match the placement. */
-  place: () => void
-  /** Ends all watches. */
+  /** Starts and closes watches to match the current assignment. */
+  reconcile: () => void
+  /** Closes all watches. */
   close: () => void
 }
 
 /**
- * Creates the watched groups of a keeper; none is watched yet.
+ * Creates the watched groups of a keeper, initially empty.
  *
- * @param options - placement, declarations, and how a watch starts
+ * @param options - assignment, declarations and the factory of watches
  * @returns the groups
  */
 export function createWatchedGroups (options: WatchedGroupsOptions): WatchedGroups {
@@ -46,15 +44,15 @@
 
   return {
     watches,
-    place: () => {
+    reconcile: () => {
       for (const { name, group } of configuration.versions()) {
-        const watched = watches.get(name)
-        const isPlacedHere = group !== null && keepersOf(name).some((keeper) => keeper.host === host)
-        if (isPlacedHere && watched === undefined) {
+        const watch = watches.get(name)
+        const isAssigned = group !== null && keepersOf(name).some((keeper) => keeper.host === host)
+        if (isAssigned && watch === undefined) {
           start(name)
         }
-        if (!isPlacedHere && watched !== undefined) {
-          watched.close()
+        if (!isAssigned && watch !== undefined) {
+          watch.close()
           watches.delete(name)
         }
       }
--- a/src/mysql-proxy/failover/when-to-act.ts
+++ b/src/mysql-proxy/failover/when-to-act.ts
@@ -1,56 +1,47 @@
 /**
- * Rule: when does a keeper change the primary, and how long does it wait first?
- *
- * Inputs: the leadership (term; 0 before the first primary), whether the primary is fenced without a successor, whether
- * it is unreachable (see `unreachable.ts`), the full rounds of probes for which an upstream has been fenced above the
- * term, the group's duties, the rank of this keeper among the keepers of the group (0 is the first), and `staggerMs`.
- *
- * - An election is needed when the group never had a primary, when the primary has been fenced for more than
- *   {@link STUCK_ROUNDS} rounds, or when it is unreachable. Only the duty `act` allows it; `observe` logs the reason
- *   once a term.
- * - The keeper of rank n waits n times `staggerMs`, with jitter, and looks again: usually the first keeper has finished
- *   by then. Two elections at once are safe, since each upstream accepts a term once, but cost time.
- * - Planned changes and repairs are left to the first keeper, without a wait.
+ * Decides when a keeper changes the primary of a group. Keepers of higher rank delay their elections, so that usually
+ * only the first keeper runs one. Concurrent elections are safe, since each upstream accepts a term only once, but slow
+ * the failover down.
  */
 import type { Group } from '../../core/config/index.ts'
 import { REQUIRED_DOMAINS } from './unreachable.ts'
 
-/** Full rounds of probes for which an unfinished election is left to the keeper that began it. */
-const STUCK_ROUNDS = 15
-/** Greatest random addition to the wait, as a part of it. */
-const JITTER = 0.5
+/** Full rounds of probes after which an unfinished election counts as stalled. */
+const STALLED_ROUNDS = 15
+/** Maximum random increase of the delay, as a fraction of it. */
+const MAX_JITTER = 0.5
 
-/** What an election is decided by. */
+/** State of a primary that decides whether an election is needed. */
 interface PrimaryState {
-  /** Term of the leadership; 0 when the group never had a primary. */
+  /** Term of the primary; 0 before the first primary of the group. */
   term: number
-  /** Whether the primary is fenced and no successor is known. */
+  /** Whether the primary is fenced and has no known successor. */
   deposed: boolean
-  /** Full rounds for which an upstream has been fenced above the term. */
-  stuckRounds: number
-  /** Whether the primary is unreachable. */
+  /** Consecutive full rounds in which an upstream was fenced with a higher term. */
+  stalledRounds: number
   unreachable: boolean
 }
 
-/** What a planned change is decided by. */
+/** State that decides whether a keeper may replace a leaving primary. */
 interface HandoverState {
   duties: Group['duties']
-  /** Place of this keeper among the keepers of the group. */
+  /** Rank of this keeper among the keepers of the group, from 0. */
   rank: number
+  /** Whether an election is in progress. */
   electing: boolean
 }
 
 /**
- * Finds out why a group needs another primary.
+ * Decides whether a group needs an election.
  *
- * @param state - the state of its primary
- * @returns the reason for the log; undefined when it needs none
+ * @param state - state of the primary
+ * @returns the reason for the log; undefined when no election is needed
  */
-export function findElectionReason ({ term, deposed, stuckRounds, unreachable }: PrimaryState): string | undefined {
+export function findElectionReason ({ term, deposed, stalledRounds, unreachable }: PrimaryState): string | undefined {
   if (term === 0) {
     return 'first start: the group has no primary yet'
   }
-  if (deposed && isStuck(stuckRounds)) {
+  if (deposed && isElectionStalled(stalledRounds)) {
     return 'the primary was fenced and has no successor'
   }
   if (unreachable) {
@@ -60,29 +51,30 @@
 }
 
 /**
- * Decides whether an election was left unfinished by the keeper that began it.
+ * Decides whether an election was abandoned by the keeper that started it.
  *
- * @param stuckRounds - full rounds for which an upstream has been fenced above the term
- * @returns whether it was
+ * @param stalledRounds - consecutive full rounds in which an upstream was fenced with a higher term
+ * @returns whether the limit of {@link STALLED_ROUNDS} is exceeded
  */
-export function isStuck (stuckRounds: number): boolean {
-  return stuckRounds > STUCK_ROUNDS
+export function isElectionStalled (stalledRounds: number): boolean {
+  return stalledRounds > STALLED_ROUNDS
 }
 
 /**
- * Computes how long a keeper waits before it runs an election.
+ * Computes the delay before an election.
  *
- * @param rank - place of the keeper among the keepers of the group, from 0
- * @param staggerMs - wait per place, in milliseconds
- * @param random - random number from 0 up to 1
- * @returns the wait, in milliseconds
+ * @param rank - rank of the keeper among the keepers of the group, from 0
+ * @param staggerMs - delay per rank, in milliseconds
+ * @param random - random number in [0, 1)
+ * @returns the delay, in milliseconds
  */
-export function staggerOf (rank: number, staggerMs: number, random: number): number {
-  return rank * staggerMs * (1 + random * JITTER)
+export function computeElectionDelay (rank: number, staggerMs: number, random: number): number {
+  return rank * staggerMs * (1 + random * MAX_JITTER)
 }
 
 /**
- * Decides whether this keeper may replace a primary that leaves.
+ * Decides whether this keeper may replace a leaving primary. Only the keeper of rank 0 may, and only when the group
+ * delegates both draining and promotion.
  *
  * @param state - duties, rank, and whether an election is in progress
  * @returns whether it may
--- a/test/mysql-proxy/failover/election.test.ts
+++ b/test/mysql-proxy/failover/election.test.ts
@@ -19,7 +19,7 @@
     statusTimeoutMs: 500
   })
 
-  it('gives each term one primary at most, however many keepers try at once', async () => {
+  it('elects at most one primary per term when several keepers run elections concurrently', async () => {
     const leaders = new Map<number, string>()
     for (let round = 0; round < 8; round++) {
       const views = Array.from({ length: 4 }, createView)
@@ -47,23 +47,23 @@
     const first = await electPrimary({ view, planned: false })
     expect(first.type).toEqual('promoted')
     await deployment.waitForPrimaries()
-    const old = deployment.primaryOf(GROUP).upstream
-    const others = servers.map(({ upstream }) => upstream).filter((upstream) => upstream !== old)
-    others.forEach((upstream) => deployment.standins.cutReplication(upstream.name, old.name))
-    const { term } = old.status()
+    const oldPrimary = deployment.primaryOf(GROUP).upstream
+    const others = servers.map(({ upstream }) => upstream).filter((upstream) => upstream !== oldPrimary)
+    others.forEach((upstream) => deployment.standins.cutReplication(upstream.name, oldPrimary.name))
+    const { term } = oldPrimary.status()
     others.forEach((upstream) => upstream.fence(term + 1))
     others[0]!.promote(term + 1)
     others[1]!.follow(others[0]!.name, term + 1)
     await view.refreshNow()
     expect(view.leadership).toEqual({ term: term + 1, primary: others[0]!.name })
-    await old.run({ sql: "INSERT INTO records (session, request, amount) VALUES ('late', 'late', 1)" })
+    await oldPrimary.run({ sql: "INSERT INTO records (session, request, amount) VALUES ('late', 'late', 1)" })
     await view.refreshNow()
-    expect(await view.waitForMajority(old.log.end, old.name, new Deadline(200))).toEqual(false)
+    expect(await view.waitForMajority(oldPrimary.log.end, oldPrimary.name, new Deadline(200))).toEqual(false)
     deployment.standins.mendReplication()
     view.close()
   })
 
-  it('promotes the preferred upstream of a planned change, though others accept the fence sooner', async () => {
+  it('promotes the preferred upstream in a planned change even if others accept the fence earlier', async () => {
     const view = createView()
     for (const preferred of deployment.standins.groups.get(GROUP)!.keys()) {
       await view.refreshNow()
@@ -84,7 +84,7 @@
     view.close()
   })
 
-  it('makes no primary when a majority cannot be fenced', async () => {
+  it('fails when a majority cannot be fenced', async () => {
     const view = createView()
     const [first, second] = [...deployment.standins.groups.get(GROUP)!.values()]
     await Promise.all([first!.crash(), second!.crash()])
