--- a/src/mysql-proxy/membership/heartbeats.ts
+++ b/src/mysql-proxy/membership/heartbeats.ts
@@ -1,6 +1,6 @@
 /**
- * Rounds of heartbeats to a few members at a time. A heartbeat and its answer carry recent changes, a digest of the
- * whole list, and the configuration revision of the sender. Whole lists are exchanged only when digests differ.
+ * Sends heartbeats to a few members per round. Each heartbeat and its answer carry recent changes, a digest of the
+ * sender's member list and its configuration revision. Full lists are exchanged only when digests differ.
  */
 import type { Endpoint } from '../../core/wire/dialer.ts'
 import type { Peers } from '../../peers/index.ts'
@@ -10,17 +10,17 @@
 import { createSuspicion } from './suspicion.ts'
 import { heartbeatSchema, memberSchema, type Heartbeat, type Member } from './types.ts'
 
-/** Members asked in each round. */
+/** Number of members that receive a heartbeat in each round. */
 const FANOUT = 2
-/** Rounds after which whole lists are exchanged with a member whose digest differs. */
-const EXCHANGE_EVERY = 4
+/** Full lists are exchanged in every n-th round. */
+const EXCHANGE_INTERVAL = 4
 
 /** Options of {@link createHeartbeats}. */
 interface HeartbeatsOptions {
   peers: Peers
   list: MemberList
   opinions: Opinions
-  /** Peers to ask while no member is known. */
+  /** Configured peer addresses; lists are exchanged with those that do not belong to a known member. */
   seeds: Endpoint[]
   /** Configuration revision of this process. */
   revision: () => number
@@ -30,26 +30,26 @@
 
 /** Heartbeats of one process. */
 interface Heartbeats {
-  /** Sends one round. */
+  /** Sends the heartbeats of one round. */
   round: () => Promise<void>
-  /** Sends a heartbeat to one member; it is suspected when it does not answer. */
+  /** Sends a heartbeat to a member and suspects the member if it does not answer. */
   sendOrSuspect: (member: Member) => Promise<void>
-  /** Tries to reach a member for another process that cannot; returns whether it answered. */
-  tryMember: (member: Member) => Promise<boolean>
-  /** Processes a heartbeat and returns the one that answers it. */
-  answer: (heartbeat: Heartbeat) => Heartbeat
-  /** Records that a member did not answer a request, and tries whether it answers at all. */
+  /** Sends a heartbeat to a member on behalf of a process that cannot reach it; returns whether it answered. */
+  probeMember: (member: Member) => Promise<boolean>
+  /** Processes a received heartbeat and returns the answer to it. */
+  handleHeartbeat: (heartbeat: Heartbeat) => Heartbeat
+  /** Records that a member did not answer a request, and sends it a heartbeat. */
   reportFailure: (member: Member) => void
-  /** Whether a member answered when last tried. */
+  /** Whether a member has no recent failure and is not suspect. */
   answers: (host: string) => boolean
-  /** Configuration revision of each member, as last received. */
+  /** Last received configuration revision of each member, by host. */
   revisions: Map<string, number>
 }
 
 /**
- * Creates the heartbeats.
+ * Creates the heartbeats of a process.
  *
- * @param options - links, list and opinions
+ * @param options - peers, member list and opinions
  * @returns the heartbeats
  */
 export function createHeartbeats (options: HeartbeatsOptions): Heartbeats {
@@ -58,7 +58,7 @@
   const revisions = new Map<string, number>()
   let rounds = 0
 
-  const describe = (): Heartbeat => {
+  const buildHeartbeat = (): Heartbeat => {
     list.expire()
     return { members: opinions.takeChanges(), digest: list.digest(), revision: options.revision() }
   }
@@ -77,15 +77,15 @@
   }
 
   const exchangeLists = async (endpoint: Endpoint): Promise<void> => {
-    const theirs = await peers.request(endpoint, 'members', list.all(), HEARTBEAT_TIMEOUT_MS)
-    memberSchema.array().parse(theirs).forEach(opinions.hear)
+    const members = await peers.request(endpoint, 'members', list.all(), HEARTBEAT_TIMEOUT_MS)
+    memberSchema.array().parse(members).forEach(opinions.hear)
   }
 
   const send = async (endpoint: Endpoint): Promise<void> => {
-    const answer = await peers.request(endpoint, 'heartbeat', describe(), HEARTBEAT_TIMEOUT_MS)
+    const answer = await peers.request(endpoint, 'heartbeat', buildHeartbeat(), HEARTBEAT_TIMEOUT_MS)
     const heartbeat = heartbeatSchema.parse(answer)
     receive(heartbeat)
-    if (heartbeat.digest !== list.digest() && rounds % EXCHANGE_EVERY === 0) {
+    if (heartbeat.digest !== list.digest() && rounds % EXCHANGE_INTERVAL === 0) {
       await exchangeLists(endpoint)
     }
   }
@@ -94,7 +94,7 @@
     try {
       await send(member)
     } catch {
-      // The reason does not matter to the suspicion; a change of state is logged as `member.state`.
+      // Any error counts as no answer; a resulting change of state is logged as `member.state`.
       await suspicion.suspect(member)
     }
   }
@@ -106,39 +106,39 @@
       suspicion.recordFailure(member.host)
       void sendOrSuspect(member)
     },
-    tryMember: async (member) => await send(member).then(() => true, () => false),
+    probeMember: async (member) => await send(member).then(() => true, () => false),
     answers: suspicion.answers,
-    answer: (heartbeat) => {
+    handleHeartbeat: (heartbeat) => {
       receive(heartbeat)
-      return describe()
+      return buildHeartbeat()
     },
     round: async () => {
       rounds++
       const { self } = opinions
       const members = list.all().filter(({ host, state }) => host !== self.host && state !== 'gone')
-      await Promise.allSettled(chooseMembers(members, rounds).map(sendOrSuspect))
-      if (members.length === 0 || rounds % EXCHANGE_EVERY === 0) {
-        await Promise.allSettled(withoutMembers(seeds, [self, ...members]).map(exchangeLists))
+      await Promise.allSettled(chooseTargets(members, rounds).map(sendOrSuspect))
+      if (members.length === 0 || rounds % EXCHANGE_INTERVAL === 0) {
+        await Promise.allSettled(seedsWithoutMember(seeds, [self, ...members]).map(exchangeLists))
       }
     }
   }
 }
 
 /**
- * Chooses the members that get a heartbeat in a round. Each gets one in turn.
+ * Chooses the members that receive a heartbeat in a round, in round-robin order.
  *
- * @param members - members that are not gone, without this process
+ * @param members - members in any state but `gone`, without this process
  * @param round - number of the round
- * @returns {@link FANOUT} of them, or all when there are fewer
+ * @returns {@link FANOUT} members, or all when there are fewer
  */
-export function chooseMembers (members: Member[], round: number): Member[] {
+export function chooseTargets (members: Member[], round: number): Member[] {
   const first = round * FANOUT
   return Array.from({ length: Math.min(FANOUT, members.length) },
     (_value, index) => members[(first + index) % members.length]!)
 }
 
-/** Returns the seeds at which no member listens that is known. */
-function withoutMembers (seeds: Endpoint[], members: Member[]): Endpoint[] {
+/** Returns the seeds whose address does not belong to a known member. */
+function seedsWithoutMember (seeds: Endpoint[], members: Member[]): Endpoint[] {
   return seeds.filter((seed) =>
     !members.some((member) => member.address === seed.address && member.port === seed.port))
 }
--- a/src/mysql-proxy/membership/index.ts
+++ b/src/mysql-proxy/membership/index.ts
@@ -1,4 +1,4 @@
-/** Plug-in `membership`: which processes are alive, by heartbeats and by the platform's list of hosts. */
+/** Plug-in `membership`: tracks which processes are alive, by heartbeats and the platform's list of hosts. */
 import type { MemberSettings } from '../../core/config/index.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
 import { repeat } from '../../core/time/repeat.ts'
@@ -12,28 +12,28 @@
 /** Service of the plug-in. */
 export interface Membership {
   readonly self: Member
-  /** Members that may do work: those that are neither gone nor leaving. */
+  /** Returns members that accept work: `live` or `suspect`. */
   available: (role: Member['role']) => Member[]
-  /** All members that are not gone, those that leave included. */
+  /** Returns members in any state but `gone`. */
   known: () => Member[]
-  /** Whether a member answered when last tried. */
+  /** Whether a member has no recent failure and is not suspect. */
   answers: (host: string) => boolean
   /** Records that a member did not answer a request, and sends it a heartbeat. */
   reportFailure: (host: string) => void
-  /** Announces to all members that this process leaves. */
+  /** Announces to all live members that this process is leaving. */
   leave: () => Promise<void>
-  /** Announces with the next heartbeats that this process is back in work. */
+  /** Announces with the next heartbeats that this process accepts work again. */
   rejoin: () => void
-  /** Calls back whenever the list has changed. */
+  /** Adds a listener that is called after every change of the member list. */
   onChange: (listener: () => void) => void
   /**
-   * Shares configuration revisions with heartbeats.
+   * Sends the configuration revision of this process with its heartbeats.
    *
    * @param own - returns the revision of this process
-   * @param onNewer - called when a member has a newer one
+   * @param onNewer - called when a member has a newer revision
    */
   shareRevision: (own: () => number, onNewer: (peer: Endpoint, revision: number) => void) => void
-  /** Configuration revision of each member, as last received. */
+  /** Returns the last received configuration revision of each member, by host. */
   revisions: () => Map<string, number>
 }
 
@@ -41,7 +41,7 @@
   interface Services { membership: Membership }
 }
 
-/** States in which a member may be given work. */
+/** States in which a member accepts work. */
 const WORK_STATES: ReadonlyArray<Member['state']> = ['live', 'suspect']
 
 registerPlugin({
@@ -61,7 +61,7 @@
       list,
       logger: context.logger,
       onChange: () => listeners.forEach((listener) => listener()),
-      onSilent: peers.disconnect
+      onUnavailable: peers.disconnect
     })
     const heartbeats = createHeartbeats({
       peers,
@@ -72,15 +72,15 @@
       onNewerRevision: (peer, revision) => onNewerRevision(peer, revision)
     })
 
-    peers.handle('heartbeat', async (body) => heartbeats.answer(heartbeatSchema.parse(body)))
+    peers.handle('heartbeat', async (body) => heartbeats.handleHeartbeat(heartbeatSchema.parse(body)))
     peers.handle('members', async (body) => {
       memberSchema.array().parse(body).forEach(opinions.hear)
       return list.all()
     })
-    peers.handle('try-member', async (body) => await heartbeats.tryMember(memberSchema.parse(body)))
+    peers.handle('try-member', async (body) => await heartbeats.probeMember(memberSchema.parse(body)))
 
     const stopRounds = repeat(settings.peers.heartbeatMs, heartbeats.round)
-    const stopReading = repeat(settings.platform.hostsPollMs, async () => await readPlatformList(table, list, opinions))
+    const stopPolling = repeat(settings.platform.hostsPollMs, async () => await readPlatformList(table, list, opinions))
 
     return {
       service: {
@@ -95,11 +95,11 @@
           }
         },
         leave: async () => {
-          opinions.changeSelf('leaving')
+          opinions.setOwnState('leaving')
           const live = list.all().filter((member) => member.state === 'live')
           await Promise.allSettled(live.map(heartbeats.sendOrSuspect))
         },
-        rejoin: () => opinions.changeSelf('live'),
+        rejoin: () => opinions.setOwnState('live'),
         onChange: (listener) => listeners.push(listener),
         shareRevision: (own, onNewer) => {
           ownRevision = own
@@ -112,7 +112,7 @@
       }),
       close: () => {
         stopRounds()
-        stopReading()
+        stopPolling()
         opinions.close()
       }
     }
--- a/src/mysql-proxy/membership/member-list.ts
+++ b/src/mysql-proxy/membership/member-list.ts
@@ -1,41 +1,39 @@
-/** The list of known processes and the rules by which two opinions of one process are merged. */
+/** List of known processes. Merging is commutative and idempotent, so that all processes converge to the same list. */
 import xxhash from 'xxhash-wasm'
 import { MEMBER_STATES, type Member } from './types.ts'
 
 const { h64ToString } = await xxhash()
 
-/**
- * Time for which a process that is gone stays listed, in milliseconds, so that an old opinion does not make it live
- * again.
- */
-const KEEP_GONE_MS = 600_000
+/** Time for which a gone process stays listed, in milliseconds, so that an outdated opinion does not revive it. */
+const GONE_RETENTION_MS = 600_000
 
-/** A member and when its state was last changed here. */
+/** A list entry. */
 interface ListedMember {
   member: Member
+  /** Monotonic time of the last change, in milliseconds. */
   changedAt: number
 }
 
-/** The list. */
+/** Member list of one process. */
 export interface MemberList {
   /**
-   * Merges an opinion of a process.
+   * Merges an opinion on a process. Outdated opinions are ignored.
    *
    * @param member - the opinion
-   * @returns whether it changed the list
+   * @returns whether the list has changed
    */
   merge: (member: Member) => boolean
   get: (host: string) => Member | undefined
-  /** All members, those that are gone included. */
+  /** Returns all members, including gone ones. */
   all: () => Member[]
-  /** Digest of the list; equal lists have equal digests. */
+  /** Returns a digest of the list; equal lists have equal digests. */
   digest: () => string
-  /** Removes processes that have been gone for long. */
+  /** Removes processes that have been gone for longer than {@link GONE_RETENTION_MS}. */
   expire: () => void
 }
 
 /**
- * Creates an empty list.
+ * Creates an empty member list.
  *
  * @returns the list
  */
@@ -61,7 +59,7 @@
     },
     expire: () => {
       for (const [host, { member, changedAt }] of members) {
-        if (member.state === 'gone' && performance.now() - changedAt > KEEP_GONE_MS) {
+        if (member.state === 'gone' && performance.now() - changedAt > GONE_RETENTION_MS) {
           members.delete(host)
           digest = undefined
         }
@@ -71,11 +69,11 @@
 }
 
 /**
- * Compares two opinions of one process: the later start, then the higher version, then the graver state.
+ * Compares two opinions on one process by start time, then version, then state in the order of {@link MEMBER_STATES}.
  *
  * @param left - one opinion
- * @param right - the other
- * @returns positive when the left one overrides the right one
+ * @param right - the other opinion
+ * @returns positive when `left` overrides `right`, 0 when they are equal
  */
 function compareOpinions (left: Member, right: Member): number {
   return left.startedAt - right.startedAt || left.version - right.version ||
--- a/src/mysql-proxy/membership/platform-list.ts
+++ b/src/mysql-proxy/membership/platform-list.ts
@@ -1,14 +1,14 @@
-/** The platform's list of hosts. It lags, so it only adds unknown hosts and marks those that leave. */
+/** Reads the platform's list of hosts. The list may be stale, so it only adds unknown hosts and marks leaving ones. */
 import { hostRowSchema, LOWEST_SORT, PARTITIONS, type PlatformTable } from '../storage/types.ts'
 import type { MemberList } from './member-list.ts'
 import type { Opinions } from './opinions.ts'
 
 /**
- * Reads the list and merges it.
+ * Reads the platform's list of hosts and merges it into the member list.
  *
  * @param table - the platform's table
- * @param list - the members known
- * @param opinions - merges what the list adds
+ * @param list - the known members
+ * @param opinions - receives new hosts and hosts that are leaving
  */
 export async function readPlatformList (table: PlatformTable, list: MemberList, opinions: Opinions): Promise<void> {
   const rows = await table.list(PARTITIONS.hosts, LOWEST_SORT)
--- a/src/mysql-proxy/membership/silence-rule.ts
+++ b/src/mysql-proxy/membership/silence-rule.ts
@@ -1,44 +1,36 @@
 /**
- * When a member that does not answer counts as suspect, and when as gone.
- *
- * Inputs: the state of the member (`live`, `suspect`, `leaving`, `gone`); whether it answers a heartbeat of this
- * process, and one of a second member; the time since it became suspect, in milliseconds.
- *
- * Rule: a live member that answers neither in {@link HEARTBEAT_TIMEOUT_MS} becomes suspect, and gone when it has not
- * refuted that in {@link REFUTATION_MS}. One that is leaving is gone at once.
- *
- * Why: a single broken link is not a failure of the other process, so a second one tries too; a process that was paused
- * for a moment can still refute. Nothing is expected from one that leaves, so there is no need to wait for it.
+ * Decides the state of a member that does not answer heartbeats. A live member becomes suspect, then gone unless it
+ * refutes the suspicion in time. A leaving member becomes gone at once.
  */
 import type { Member } from './types.ts'
 
-/** Time in which a member must answer a heartbeat, in milliseconds. */
+/** Time limit for the answer to a heartbeat, in milliseconds. */
 export const HEARTBEAT_TIMEOUT_MS = 400
-/** Time in which a second member must report, in milliseconds: its own heartbeat and the way there and back. */
+/** Time limit for an indirect probe through another member, in milliseconds; includes the heartbeat of that member. */
 export const CONFIRMATION_TIMEOUT_MS = 2 * HEARTBEAT_TIMEOUT_MS
-/** Time in which a suspect must refute before it counts as gone, in milliseconds. */
-export const REFUTATION_MS = 1000
+/** Time limit for a suspect to refute the suspicion before it becomes gone, in milliseconds. */
+export const REFUTATION_TIMEOUT_MS = 1000
 
-const STATE_WHEN_SILENT: Record<Member['state'], Member['state'] | undefined> = {
+const STATE_AFTER_TIMEOUT: Record<Member['state'], Member['state'] | undefined> = {
   live: 'suspect', suspect: undefined, leaving: 'gone', gone: undefined
 }
 
 /**
- * Decides what becomes of a member that does not answer.
+ * Returns the next state of a member that does not answer.
  *
- * @param state - its state
- * @returns its next state, or undefined when it keeps the one it has
+ * @param state - its current state
+ * @returns its next state; undefined when the state does not change
  */
-export function stateWhenSilent (state: Member['state']): Member['state'] | undefined {
-  return STATE_WHEN_SILENT[state]
+export function stateAfterTimeout (state: Member['state']): Member['state'] | undefined {
+  return STATE_AFTER_TIMEOUT[state]
 }
 
 /**
- * Decides whether a suspect counts as gone, {@link REFUTATION_MS} after it became suspect.
+ * Decides whether a suspect has not refuted the suspicion.
  *
- * @param suspect - the member as it was suspected
- * @param current - the member as it is listed
- * @returns whether it has not refuted the suspicion
+ * @param suspect - the member when it became suspect
+ * @param current - its current entry in the member list, if any
+ * @returns whether it is still suspect in the same version
  */
 export function isUnrefuted (suspect: Member, current: Member | undefined): current is Member {
   return current?.state === 'suspect' && current.version === suspect.version
--- a/src/mysql-proxy/membership/suspicion.ts
+++ b/src/mysql-proxy/membership/suspicion.ts
@@ -1,14 +1,12 @@
-/** Acts on members that do not answer: tries them through a second member, and changes their state by the rule. */
+/** Handles members that do not answer: probes them through another member before changing their state. */
 import type { Peers } from '../../peers/index.ts'
 import type { MemberList } from './member-list.ts'
 import type { Opinions } from './opinions.ts'
-import { CONFIRMATION_TIMEOUT_MS, stateWhenSilent } from './silence-rule.ts'
+import { CONFIRMATION_TIMEOUT_MS, stateAfterTimeout } from './silence-rule.ts'
 import type { Member } from './types.ts'
 
-/**
- * Time for which a member that failed a request is tried last, in milliseconds. A new heartbeat from it ends that time.
- */
-const AVOID_MS = 500
+/** Time for which a failed request counts, in milliseconds; a heartbeat from the member clears it earlier. */
+const FAILURE_TTL_MS = 500
 
 /** Options of {@link createSuspicion}. */
 interface SuspicionOptions {
@@ -17,45 +15,45 @@
   opinions: Opinions
 }
 
-/** What this process knows of members that failed to answer it. */
+/** Members that recently failed to answer this process. */
 interface Suspicion {
-  /** Records that a member did not answer; others may still reach it. */
+  /** Records that a member did not answer, without changing its state. */
   recordFailure: (host: string) => void
-  /** Records that a member has sent or answered a heartbeat. */
+  /** Records that a member has sent or answered a heartbeat; clears its failure. */
   recordAnswer: (host: string) => void
-  /** Whether a member answered when last tried. */
+  /** Whether a member has no recent failure and is not suspect. */
   answers: (host: string) => boolean
-  /** Suspects a member that did not answer, unless a second member reaches it. */
+  /** Suspects a member that did not answer, unless another member can reach it. */
   suspect: (member: Member) => Promise<void>
 }
 
 /**
- * Creates the suspicion of a process that starts.
+ * Creates the suspicion of a process, without failures.
  *
- * @param options - links, list and opinions
- * @returns the suspicion; no member has failed
+ * @param options - peers, member list and opinions
+ * @returns the suspicion
  */
 export function createSuspicion ({ peers, list, opinions }: SuspicionOptions): Suspicion {
-  const avoidedUntil = new Map<string, number>()
+  const failedUntil = new Map<string, number>()
 
   const recordFailure = (host: string): void => {
-    avoidedUntil.set(host, performance.now() + AVOID_MS)
+    failedUntil.set(host, performance.now() + FAILURE_TTL_MS)
   }
 
   return {
     recordFailure,
-    recordAnswer: (host) => avoidedUntil.delete(host),
+    recordAnswer: (host) => failedUntil.delete(host),
     answers: (host) =>
-      (avoidedUntil.get(host) ?? 0) < performance.now() && list.get(host)?.state !== 'suspect',
+      (failedUntil.get(host) ?? 0) < performance.now() && list.get(host)?.state !== 'suspect',
     suspect: async (member) => {
       recordFailure(member.host)
-      const helper = list.all().find(({ state, host }) =>
+      const prober = list.all().find(({ state, host }) =>
         state === 'live' && host !== member.host && host !== opinions.self.host)
-      if (helper !== undefined && await reachesMember(peers, helper, member)) {
+      if (prober !== undefined && await probeIndirectly(peers, prober, member)) {
         return
       }
       const current = list.get(member.host)
-      const next = current === undefined ? undefined : stateWhenSilent(current.state)
+      const next = current === undefined ? undefined : stateAfterTimeout(current.state)
       if (current !== undefined && next !== undefined) {
         opinions.hear({ ...current, state: next })
       }
@@ -63,12 +61,12 @@
   }
 }
 
-/** Asks a second member to try; a broken link of this process is not a failure of the other one. */
-async function reachesMember (peers: Peers, helper: Member, member: Member): Promise<boolean> {
+/** Asks another member to probe, to tell a broken link from a failed process; returns whether the member answered. */
+async function probeIndirectly (peers: Peers, prober: Member, member: Member): Promise<boolean> {
   try {
-    return await peers.request(helper, 'try-member', member, CONFIRMATION_TIMEOUT_MS) === true
+    return await peers.request(prober, 'try-member', member, CONFIRMATION_TIMEOUT_MS) === true
   } catch {
-    // No log line: a second member that does not answer confirms nothing, and is suspected by its own heartbeats.
+    // Not logged: a prober that does not answer is detected by its own heartbeats.
     return false
   }
 }
--- a/src/mysql-proxy/membership/types.ts
+++ b/src/mysql-proxy/membership/types.ts
@@ -1,33 +1,33 @@
-/** Messages of the membership: members and heartbeats. */
+/** Messages between members: member records and heartbeats. */
 import * as z from 'zod'
 
-/** States of a member, each overriding the ones before it in the same version. */
+/** States of a member; within one version, a later state overrides an earlier one. */
 export const MEMBER_STATES = ['live', 'suspect', 'leaving', 'gone'] as const
 
-/** What is known of one process. */
+/** Record of one process. */
 export const memberSchema = z.object({
   host: z.string(),
   role: z.enum(['proxy', 'keeper']),
   failureDomain: z.string(),
   address: z.string(),
   port: z.number().int(),
-  /** When the process started, in milliseconds of the epoch; a restart overrides everything before. */
+  /** Start time of the process, in milliseconds since the epoch; a later start overrides all earlier records. */
   startedAt: z.number(),
-  /** Raised by the process itself, to refute a suspicion or to say that it leaves. */
+  /** Incremented by the process itself, to refute a suspicion or to change its state. */
   version: z.number().int(),
   state: z.enum(MEMBER_STATES)
 })
 
-/** What is known of one process. */
+/** Record of one process. */
 export type Member = z.infer<typeof memberSchema>
 
 /** Body of a heartbeat and of its answer. */
 export const heartbeatSchema = z.object({
-  /** Members whose state changed lately, and the sender. */
+  /** The sender, followed by recently changed members. */
   members: z.array(memberSchema),
-  /** Digest of all that the sender knows; members are exchanged whole only when digests differ. */
+  /** Digest of the sender's member list; full lists are exchanged only when digests differ. */
   digest: z.string(),
-  /** Newest configuration revision of the sender. */
+  /** Configuration revision of the sender. */
   revision: z.number().int()
 })
 
--- a/test/mysql-proxy/membership/member-list.test.ts
+++ b/test/mysql-proxy/membership/member-list.test.ts
@@ -16,7 +16,7 @@
 })
 
 describe('createMemberList', () => {
-  it('comes to the same list in whatever order, and however often, opinions are heard', () => {
+  it('converges to the same list for any order and repetition of opinions', () => {
     fc.assert(fc.property(fc.array(opinion, { maxLength: 12 }), fc.infiniteStream(fc.nat()), (opinions, order) => {
       const first = createMemberList()
       opinions.forEach((member) => first.merge(member))
@@ -27,7 +27,7 @@
     }), { seed: 5, numRuns: 200 })
   })
 
-  it('does not bring back a process that is gone by old word, but does by its restart', () => {
+  it('ignores an outdated opinion on a gone process, and revives it after a restart', () => {
     const list = createMemberList()
     const member: Member = {
       host: 'a', role: 'proxy', failureDomain: 'd', address: '127.0.0.1', port: 1, startedAt: 5, version: 1, state: 'gone'
--- a/test/mysql-proxy/membership/membership.test.ts
+++ b/test/mysql-proxy/membership/membership.test.ts
@@ -7,30 +7,30 @@
   before(async () => { deployment = await startTestDeployment() })
   after(async () => await deployment.close())
 
-  const statesSeenBy = (index: number): Map<string, string> => new Map(
+  const statesKnownBy = (index: number): Map<string, string> => new Map(
     deployment.proxies[index]!.kernel.use('membership').known().map(({ host, state }) => [host, state]))
 
-  it('takes a proxy for gone that was killed, though the platform still lists it as live', async () => {
+  it('marks a killed proxy as gone while the platform still lists it as live', async () => {
     const extra = await deployment.addProxy('proxy-doomed', 'seoul-a')
-    await until(() => statesSeenBy(0).get('proxy-doomed') === 'live')
+    await until(() => statesKnownBy(0).get('proxy-doomed') === 'live')
     await deployment.kill(extra)
-    await until(() => statesSeenBy(0).get('proxy-doomed') === undefined)
+    await until(() => statesKnownBy(0).get('proxy-doomed') === undefined)
     deployment.proxies.pop()
     const connection = await deployment.connect(0)
     await purchase(connection, 'doomed', 'd1')
     expect(await readRequests(connection, 'doomed')).toEqual(['d1'])
   })
 
-  it('does not take a proxy for gone whose link to one other proxy is cut', async () => {
+  it('keeps a proxy live when only its link to one other proxy is cut', async () => {
     deployment.network.cut('proxy-1', 'proxy-2')
-    const beats = (): number => deployment.proxies[0]!.kernel.use('membership').known().length
+    const countKnown = (): number => deployment.proxies[0]!.kernel.use('membership').known().length
     await until(() => !deployment.proxies[0]!.kernel.use('membership').answers('proxy-2'))
-    expect(statesSeenBy(0).get('proxy-2')).toEqual('live')
-    expect(beats()).toEqual(6)
+    expect(statesKnownBy(0).get('proxy-2')).toEqual('live')
+    expect(countKnown()).toEqual(6)
     deployment.network.mend()
   })
 
-  it('gives no work to a proxy that the platform lists as leaving', async () => {
+  it('assigns no work to a proxy that the platform lists as leaving', async () => {
     const proxy = deployment.proxies[2]!
     const { port } = proxy.kernel.use('peers')
     deployment.standins.platform.setHost({
@@ -41,7 +41,7 @@
     expect(proxy.kernel.use('membership').self.state).toEqual('leaving')
   })
 
-  it('starts from its peers while the platform is down', async () => {
+  it('starts with the configuration of its peers while the platform is down', async () => {
     deployment.standins.platform.faults.outage = true
     const late = await deployment.addProxy('proxy-late', 'seoul-c')
     await until(() => late.kernel.use('configuration').ready)
--- a/test/mysql-proxy/membership/opinions.test.ts
+++ b/test/mysql-proxy/membership/opinions.test.ts
@@ -8,13 +8,13 @@
 const memberNamed = (host: string): Member => ({
   host, role: 'proxy', failureDomain: 'x', address: '127.0.0.1', port: 1, startedAt: 1, version: 1, state: 'live'
 })
-/** Members that change at once, more than one heartbeat has room for. */
+/** Number of simultaneous changes; more than fit into one heartbeat. */
 const CHANGED = 40
 
-describe('what heartbeats carry', () => {
-  it('is each change, as often as any other, however many come at once', () => {
+describe('takeChanges', () => {
+  it('returns each change equally often when more changes are pending than fit into one heartbeat', () => {
     const opinions = createOpinions({
-      self: memberNamed('self'), list: createMemberList(), logger: silentLogger, onChange: () => {}, onSilent: () => {}
+      self: memberNamed('self'), list: createMemberList(), logger: silentLogger, onChange: () => {}, onUnavailable: () => {}
     })
     const hosts = Array.from({ length: CHANGED }, (_value, index) => `host-${index}`)
     hosts.forEach((host) => opinions.hear(memberNamed(host)))
--- a/test/mysql-proxy/membership/silence-rule.test.ts
+++ b/test/mysql-proxy/membership/silence-rule.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { chooseMembers } from '../../../src/mysql-proxy/membership/heartbeats.ts'
-import { isUnrefuted, stateWhenSilent } from '../../../src/mysql-proxy/membership/silence-rule.ts'
+import { chooseTargets } from '../../../src/mysql-proxy/membership/heartbeats.ts'
+import { isUnrefuted, stateAfterTimeout } from '../../../src/mysql-proxy/membership/silence-rule.ts'
 import type { Member } from '../../../src/mysql-proxy/membership/types.ts'
 
 const member = (host: string, change: Partial<Member> = {}): Member => ({
@@ -9,16 +9,16 @@
 })
 
 describe('stateWhenSilent', () => {
-  it('suspects a live member, and takes a leaving one for gone', () => {
-    expect(stateWhenSilent('live')).toEqual('suspect')
-    expect(stateWhenSilent('leaving')).toEqual('gone')
-    expect(stateWhenSilent('suspect')).toEqual(undefined)
-    expect(stateWhenSilent('gone')).toEqual(undefined)
+  it('returns suspect for a live member, gone for a leaving one, and no change otherwise', () => {
+    expect(stateAfterTimeout('live')).toEqual('suspect')
+    expect(stateAfterTimeout('leaving')).toEqual('gone')
+    expect(stateAfterTimeout('suspect')).toEqual(undefined)
+    expect(stateAfterTimeout('gone')).toEqual(undefined)
   })
 })
 
 describe('isUnrefuted', () => {
-  it('holds while the member is listed as suspect in the version that was suspected', () => {
+  it('is true only while the member is listed as suspect in the suspected version', () => {
     const suspect = member('a', { state: 'suspect' })
     expect(isUnrefuted(suspect, suspect)).toEqual(true)
     expect(isUnrefuted(suspect, member('a', { state: 'suspect', version: 2 }))).toEqual(false)
@@ -28,14 +28,14 @@
 })
 
 describe('chooseMembers', () => {
-  it('reaches every member in turn, two in a round', () => {
+  it('chooses two members per round, in round-robin order', () => {
     const members = ['a', 'b', 'c', 'd', 'e'].map((host) => member(host))
-    const rounds = [1, 2, 3].map((round) => chooseMembers(members, round).map(({ host }) => host))
+    const rounds = [1, 2, 3].map((round) => chooseTargets(members, round).map(({ host }) => host))
     expect(rounds).toEqual([['c', 'd'], ['e', 'a'], ['b', 'c']])
   })
 
-  it('sends one heartbeat to a single member', () => {
-    expect(chooseMembers([member('a')], 3).map(({ host }) => host)).toEqual(['a'])
-    expect(chooseMembers([], 3)).toEqual([])
+  it('chooses a single member once, and none from an empty list', () => {
+    expect(chooseTargets([member('a')], 3).map(({ host }) => host)).toEqual(['a'])
+    expect(chooseTargets([], 3)).toEqual([])
   })
 })
