--- a/src/mysql-proxy/callers/caller-session.ts
+++ b/src/mysql-proxy/callers/caller-session.ts
@@ -1,4 +1,4 @@
-/** The handler of one caller's connection: it classes each statement and has it handled. */
+/** Handles the connection of one caller: classifies each statement and passes it to the handler of its class. */
 import type { Group } from '../../core/config/index.ts'
 import type { ClientHandler, ClientHello } from '../../mysql/client-handler.ts'
 import type { HomeRequests } from '../routing/home-requests.ts'
@@ -16,22 +16,24 @@
   client: ClientHello
   tokens: SessionTokens
   requests: HomeRequests
-  /** Returns a group in force. */
+  /** Returns the current declarations of a group. */
   findGroup: (name: string) => Group | undefined
 }
 
-/** A caller's connection, as dumps show it. */
+/** State of a caller's connection, as shown to operators. */
 export interface CallerState {
   connection: number
   service: string
   group: string
   session: string
   inTransaction: boolean
+  /** Whether a statement is being executed. */
   busy: boolean
+  /** Number of statements received. */
   statements: number
 }
 
-/** A caller's connection. */
+/** Handler of a caller's connection. */
 export interface CallerSession extends ClientHandler {
   state: () => CallerState
 }
@@ -39,7 +41,7 @@
 /**
  * Creates the handler of a caller's connection.
  *
- * @param options - the caller and the way to homes
+ * @param options - the caller, its group and the sender of requests to homes
  * @returns the handler
  */
 export function createCallerSession (options: CallerSessionOptions): CallerSession {
@@ -55,7 +57,7 @@
       try {
         const hint = { ...caller.defaults, ...readHint(statement.sql) }
         if (hint.session !== undefined) {
-          caller.session.enter(hint.session)
+          caller.session.resume(hint.session)
         }
         return await STATEMENT_HANDLERS[classifyStatement(statement.sql)](caller, statement, hint)
       } finally {
--- a/src/mysql-proxy/callers/caller-transaction.ts
+++ b/src/mysql-proxy/callers/caller-transaction.ts
@@ -1,11 +1,11 @@
-/** The transaction of one caller's connection: all its statements go to the home where it began. */
+/** Transactions of one caller's connection. All statements of a transaction go to the home where it began. */
 import { randomUUID } from 'node:crypto'
 import { RequestError } from '../../core/errors/index.ts'
 import { createRequestKey, fingerprintOf } from '../ledger/request-key.ts'
 import type { Answer, Statement } from '../../mysql/types.ts'
 import type { HomeRequests } from '../routing/home-requests.ts'
 
-/** What every request to a home carries. */
+/** Fields of every request to a home. */
 export interface RequestBase {
   group: string
   service: string
@@ -17,47 +17,53 @@
   host: string
   connectionId: number
   requests: HomeRequests
-  /** What a request that declares no kind carries. */
+  /** Returns the fields of a request without a declared kind. */
   base: () => RequestBase
-  /** Called with the floor that a commit has reached. */
+  /** Called with the floor of the session after each commit. */
   onCommitted: (floor: Awaited<ReturnType<HomeRequests['sendTo']>>['floor']) => void
 }
 
-/** A transaction that is open. */
+/** An open transaction. */
 interface OpenTransaction {
   id: string
+  /** Host on which the transaction began. */
   home: string
+  /** Executed statements, for the fingerprint of the commit. */
   statements: Statement[]
+  /** Whether a statement may have written. */
   writes: boolean
 }
 
-/** The transactions of a connection, one at a time. */
+/** Transactions of a connection; at most one is open. */
 export interface CallerTransactions {
   readonly open: boolean
+  /** Begins a transaction; rolls an open one back first. */
   begin: () => Promise<void>
   /**
    * Runs a statement in the open transaction.
    *
    * @param statement - the statement
-   * @param base - what its request carries
-   * @param writes - whether it may write
+   * @param base - fields of the request
+   * @param writes - whether the statement may write
    * @returns the answer
-   * @throws RequestError `TransactionLost` when the transaction is gone
+   * @throws RequestError `TransactionLost` when no transaction is open, or when its home or connection is lost
    */
   execute: (statement: Statement, base: RequestBase, writes: boolean) => Promise<Answer>
   /**
-   * Commits the open transaction, if there is one. A commit whose answer is lost is settled by its key.
+   * Commits the open transaction, if any. If the answer to the commit of a write is lost, its outcome is determined
+   * by the request key.
    *
-   * @param callersKey - the caller's own key, if it gave one
+   * @param callersKey - request key of the caller, if any
    */
   commit: (callersKey: string | undefined) => Promise<void>
+  /** Rolls the open transaction back, if any. */
   rollBack: () => Promise<void>
 }
 
 /**
  * Creates the transactions of a connection.
  *
- * @param options - the connection and the way to homes
+ * @param options - the connection and the sender of requests to homes
  * @returns the transactions; none is open
  */
 export function createCallerTransactions (options: CallerTransactionsOptions): CallerTransactions {
@@ -69,7 +75,7 @@
     const ended = transaction
     transaction = undefined
     if (ended !== undefined) {
-      // No log line: a home that is not reached rolls back when the link is gone, or after `transactionMs`.
+      // Not logged: an unreachable home rolls back when the link closes, or after `transactionMs`.
       await requests.sendTo(ended.home, { ...base(), type: 'rollback', transactionId: ended.id }).catch(() => {})
     }
   }
@@ -94,9 +100,9 @@
         open.writes ||= writes
         return reply.answer
       } catch (thrown) {
-        if (isTransactionOver(thrown)) {
+        if (endsTransaction(thrown)) {
           transaction = undefined
-          throw asTransactionLost(thrown)
+          throw toTransactionLostError(thrown)
         }
         throw thrown
       }
@@ -114,7 +120,7 @@
         onCommitted(reply.floor)
       } catch (thrown) {
         if (!(thrown instanceof RequestError) || thrown.verdict !== 'may-have-run' || !ending.writes) {
-          throw isTransactionOver(thrown) ? asTransactionLost(thrown) : thrown
+          throw endsTransaction(thrown) ? toTransactionLostError(thrown) : thrown
         }
         const { reply } = await requests.send({ ...keyed, type: 'settle' })
         onCommitted(reply.floor)
@@ -123,14 +129,14 @@
   }
 }
 
-/** Whether a failure means that the transaction is gone: its home or its connection is. */
-function isTransactionOver (thrown: unknown): thrown is RequestError {
+/** Whether an error means that the transaction is lost, together with its home or its connection. */
+function endsTransaction (thrown: unknown): thrown is RequestError {
   return thrown instanceof RequestError &&
     ['TransactionLost', 'PeerUnavailable', 'ConnectionLost', 'UnknownGroup'].includes(thrown.entry)
 }
 
-/** An uncommitted transaction whose home is gone is rolled back, whatever the link's own verdict. */
-function asTransactionLost (thrown: RequestError): RequestError {
+/** Converts an error to `TransactionLost` with verdict `not-run`, since an uncommitted transaction is rolled back. */
+function toTransactionLostError (thrown: RequestError): RequestError {
   return thrown.entry === 'TransactionLost'
     ? thrown
     : new RequestError('not-run', 'TransactionLost', { reason: thrown.message })
--- a/src/mysql-proxy/callers/caller.ts
+++ b/src/mysql-proxy/callers/caller.ts
@@ -1,4 +1,4 @@
-/** State of one caller's connection, and what its requests to homes carry. */
+/** State of one caller's connection, and the common fields of its requests to homes. */
 import type { Group, Kind } from '../../core/config/index.ts'
 import { RequestError } from '../../core/errors/index.ts'
 import type { HomeRequests } from '../routing/home-requests.ts'
@@ -6,20 +6,20 @@
 import type { Hint } from './hint.ts'
 import type { SessionFloors } from './session-floors.ts'
 
-/** Time a statement without a declared kind may take, in milliseconds. */
+/** Deadline of a statement without a declared kind, in milliseconds. */
 const DEFAULT_DEADLINE_MS = 5000
 
-/** A caller's connection. */
+/** State of a caller's connection. */
 export interface Caller {
   readonly service: string
-  /** Name of the group that is the connection's database. */
+  /** Name of the group selected as the database of the connection. */
   groupName: string
-  /** What statements declare that do not say otherwise. */
+  /** Hint for statements that do not override it. */
   defaults: Hint
   session: SessionFloors
   readonly transactions: CallerTransactions
   readonly requests: HomeRequests
-  /** Returns a group in force. */
+  /** Returns the current declarations of a group. */
   readonly findGroup: (name: string) => Group | undefined
 }
 
@@ -27,7 +27,7 @@
  * Finds the group of a connection.
  *
  * @param caller - the connection
- * @returns the group in force
+ * @returns the current declarations of the group
  * @throws RequestError `UnknownGroup` with verdict `not-run`
  */
 export function findCallerGroup ({ groupName, findGroup }: Caller): Group {
@@ -42,8 +42,8 @@
  * Finds the declared kind of a statement.
  *
  * @param caller - the connection
- * @param hint - what the statement declares
- * @returns the kind, or undefined when the statement names none
+ * @param hint - hint of the statement
+ * @returns the kind; undefined when the statement declares none
  * @throws RequestError `UnknownKind` or `UnknownGroup` with verdict `not-run`
  */
 export function findKind (caller: Caller, hint: Hint): Kind | undefined {
@@ -60,10 +60,10 @@
 }
 
 /**
- * Builds what every request to a home carries.
+ * Builds the common fields of a request to a home.
  *
  * @param caller - the connection
- * @param kind - the declared kind, which sets the deadline
+ * @param kind - the declared kind, if any; determines the deadline
  * @returns group, service and deadline
  */
 export function buildRequestBase (
@@ -73,12 +73,12 @@
 }
 
 /**
- * Makes a group the connection's database.
+ * Selects a group as the database of a connection.
  *
  * @param caller - the connection
  * @param database - name of the group
  * @throws RequestError `UnsupportedStatement` while a transaction is open; `UnknownGroup` when the group does not exist
- * or does not have the caller's service
+ * or does not declare the caller's service
  */
 export function selectCallerDatabase (caller: Caller, database: string): void {
   if (caller.transactions.open) {
--- a/src/mysql-proxy/callers/index.ts
+++ b/src/mysql-proxy/callers/index.ts
@@ -1,6 +1,6 @@
 /**
- * Plug-in `callers`: accepts callers over the MySQL protocol and owns their connections. When the process stops,
- * callers are disconnected between two requests, outside a transaction, as long as `stopMs` allows.
+ * Plug-in `callers`: accepts callers over the MySQL protocol. On shutdown, callers are disconnected once they are idle
+ * and outside a transaction; the others are disconnected after `stopMs`.
  */
 import type { ProxySettings } from '../../core/config/index.ts'
 import { describeThrown, RequestError, WorkswardError } from '../../core/errors/index.ts'
@@ -16,9 +16,9 @@
 
 /** Service of the plug-in. */
 export interface Callers {
-  /** Port on which callers are accepted. */
+  /** Port on which the proxy accepts callers. */
   port: number
-  /** Callers that are connected. */
+  /** Returns the state of all connected callers. */
   connections: () => CallerState[]
 }
 
@@ -26,12 +26,12 @@
   interface Services { callers: Callers }
 }
 
-/** Greatest length of a command, in bytes, whatever the group's own limit. */
-const COMMAND_BYTES = 16_000_000
-/** Pause between two looks for callers that can be disconnected, in milliseconds. */
-const DRAIN_POLL_MS = 10
+/** Maximum length of a command, in bytes, independent of the limits of groups. */
+const MAX_COMMAND_BYTES = 16_000_000
+/** Interval at which draining checks for idle callers, in milliseconds. */
+const DRAIN_POLL_INTERVAL_MS = 10
 
-/** A caller that is connected. */
+/** A connected caller. */
 interface ConnectedCaller {
   session: CallerSession
   client: ClientHello
@@ -55,7 +55,7 @@
     const server = await listenMysql({
       address: settings.host.address,
       port: settings.listen.callers,
-      statementBytes: COMMAND_BYTES,
+      statementBytes: MAX_COMMAND_BYTES,
       findPasswordHash: (user, database) => {
         const hash = configuration.group(database)?.services[user]?.passwordHash
         return hash === undefined ? undefined : Buffer.from(hash, 'hex')
@@ -71,7 +71,7 @@
         callers.add(caller)
         return {
           ...session,
-          execute: async (statement) => await measured(metrics, async () => await session.execute(statement)),
+          execute: async (statement) => await withMetrics(metrics, async () => await session.execute(statement)),
           close: () => {
             callers.delete(caller)
             session.close()
@@ -99,25 +99,25 @@
   }
 })
 
-/** Disconnects callers as they become idle, until none is left or the time is over. */
+/** Disconnects callers as they become idle, until none is left or the timeout has passed. */
 async function drainCallers (callers: Set<ConnectedCaller>, timeoutMs: number): Promise<void> {
-  const until = performance.now() + timeoutMs
-  while (callers.size > 0 && performance.now() < until) {
-    callers.forEach(endWhenIdle)
-    await pause(DRAIN_POLL_MS)
+  const endsAt = performance.now() + timeoutMs
+  while (callers.size > 0 && performance.now() < endsAt) {
+    callers.forEach(disconnectIfIdle)
+    await pause(DRAIN_POLL_INTERVAL_MS)
   }
 }
 
-/** Disconnects a caller that is between two requests and outside a transaction. */
-function endWhenIdle ({ session, client }: ConnectedCaller): void {
+/** Disconnects a caller that executes no statement and has no open transaction. */
+function disconnectIfIdle ({ session, client }: ConnectedCaller): void {
   const { busy, inTransaction } = session.state()
   if (!busy && !inTransaction) {
     client.end()
   }
 }
 
-/** Records how long a request took and how it ended. */
-async function measured (metrics: Metrics, run: () => Promise<Answer>): Promise<Answer> {
+/** Runs a request and records its duration and outcome. */
+async function withMetrics (metrics: Metrics, run: () => Promise<Answer>): Promise<Answer> {
   const startedAt = performance.now()
   let outcome = 'done'
   try {
@@ -130,7 +130,7 @@
   }
 }
 
-/** Every error carries the verdict, so that the caller knows whether it may send the request again. */
+/** Converts an error for the caller. The verdict tells the caller whether it may retry the request. */
 function toRefusal (thrown: unknown): Refusal {
   if (thrown instanceof RequestError) {
     const verdict = thrown.entry === 'StatementFailed' ? '' : ` [verdict: ${thrown.verdict}]`
--- a/src/mysql-proxy/callers/plain-statement.ts
+++ b/src/mysql-proxy/callers/plain-statement.ts
@@ -1,4 +1,4 @@
-/** Sends a statement to a home of its group: in the caller's transaction, or on its own. */
+/** Sends a statement to a home of its group, in the caller's open transaction if there is one. */
 import type { Group, Kind } from '../../core/config/index.ts'
 import { RequestError } from '../../core/errors/index.ts'
 import type { Answer, Statement } from '../../mysql/types.ts'
@@ -7,22 +7,22 @@
 import type { Hint } from './hint.ts'
 
 /**
- * Runs a statement.
+ * Runs a statement and updates the floor of the session.
  *
  * @param caller - the connection
  * @param statement - the statement
- * @param hint - what the statement declares
+ * @param hint - hint of the statement
  * @returns the answer
  * @throws RequestError with the verdict
  */
 export async function runPlainStatement (caller: Caller, statement: Statement, hint: Hint): Promise<Answer> {
   const group = findCallerGroup(caller)
-  checkSize(statement, group)
+  checkStatementSize(statement, group)
   const kind = findKind(caller, hint)
   const isWrite = kind?.access !== 'read'
   if (caller.transactions.open) {
     const answer = await caller.transactions.execute(statement, buildRequestBase(caller, kind), isWrite)
-    return checkRows(answer, findCallerGroup(caller))
+    return checkAnswerRows(answer, findCallerGroup(caller))
   }
   const { session, groupName } = caller
   const { reply } = await caller.requests.send({
@@ -31,7 +31,7 @@
     kind: hint.kind,
     statement,
     floor: session.floorOf(groupName),
-    readIndex: session.isBareId,
+    readIndex: session.isIdOnly,
     key: chooseKey(kind, hint)
   })
   if (isWrite) {
@@ -39,16 +39,16 @@
   } else {
     caller.session.replace(caller.groupName, reply.floor)
   }
-  return checkRows(reply.answer, group)
+  return checkAnswerRows(reply.answer, group)
 }
 
 /**
- * Chooses the request key of a statement outside a transaction. A write that is not declared repeatable needs one, so
- * that it runs once at most.
+ * Chooses the request key of a statement outside a transaction. A write that is not declared repeatable needs a key, so
+ * that it runs at most once.
  *
- * @param kind - the declared kind; a statement without one counts as a write
- * @param hint - what the statement declares, with the caller's own key
- * @returns the key, or undefined when the statement needs none
+ * @param kind - the declared kind; a statement without a kind counts as a write
+ * @param hint - hint of the statement, which may contain a key
+ * @returns the key; undefined when the statement needs none
  */
 export function chooseKey (kind: Kind | undefined, hint: Hint): string | undefined {
   if (kind?.access === 'read') {
@@ -57,14 +57,14 @@
   return hint.key ?? (kind?.repeatable === true ? undefined : createRequestKey())
 }
 
-function checkSize ({ sql }: Statement, { limits }: Group): void {
+function checkStatementSize ({ sql }: Statement, { limits }: Group): void {
   const bytes = Buffer.byteLength(sql)
   if (bytes > limits.statementBytes) {
     throw new RequestError('not-run', 'StatementTooLarge', { bytes, limit: limits.statementBytes })
   }
 }
 
-function checkRows (answer: Answer, { limits }: Group): Answer {
+function checkAnswerRows (answer: Answer, { limits }: Group): Answer {
   if (answer.type === 'rows' && answer.rows.length > limits.answerRows) {
     throw new RequestError('ran', 'AnswerTooLarge', { rows: answer.rows.length, limit: limits.answerRows })
   }
--- a/src/mysql-proxy/callers/session-floors.ts
+++ b/src/mysql-proxy/callers/session-floors.ts
@@ -1,40 +1,40 @@
-/** What a caller's session has seen, group by group, and how the session names itself. */
+/** Floors of a caller's session by group: the log positions that its reads must include. */
 import { randomUUID } from 'node:crypto'
 import { isSessionToken, type SessionTokens } from '../sessions/session-token.ts'
 import { joinFloors, NOTHING_SEEN, type SessionFloor } from '../../positions/position.ts'
 
 /** The session of a caller's connection. */
 export interface SessionFloors {
-  /** Identity of the session. */
+  /** Id of the session. */
   readonly id: string
-  /** Whether the caller named the session by its id alone, so that it may have written elsewhere. */
-  readonly isBareId: boolean
+  /** Whether the caller passed an id instead of a token, so that the session may have written through other proxies. */
+  readonly isIdOnly: boolean
   /**
-   * Enters the session that a handle names.
+   * Switches to the session of a handle.
    *
-   * @param handle - a token, which carries its floors, or an id, which carries none
+   * @param handle - a token, which contains floors, or the id of a session, which does not
    */
-  enter: (handle: string) => void
-  /** Returns what the session has seen of a group. */
+  resume: (handle: string) => void
+  /** Returns the floor of a group. */
   floorOf: (group: string) => SessionFloor
-  /** Replaces the floor of a group by one that covers it. */
+  /** Replaces the floor of a group by one that is at least as high. */
   replace: (group: string, floor: SessionFloor | undefined) => void
-  /** Joins a floor to that of a group. */
+  /** Raises the floor of a group to include another floor. */
   join: (group: string, floor: SessionFloor | undefined) => void
-  /** Makes a token of the session. */
-  seal: () => string
+  /** Returns a token that contains the id and the floors of the session. */
+  createToken: () => string
 }
 
 /**
- * Creates a new session.
+ * Creates a session with a new id and without floors.
  *
- * @param tokens - makes and checks tokens
- * @param service - the service it belongs to
- * @returns the session, which has seen nothing
+ * @param tokens - creates and verifies tokens
+ * @param service - service that the session belongs to
+ * @returns the session
  */
 export function createSessionFloors (tokens: SessionTokens, service: string): SessionFloors {
   let id: string = randomUUID()
-  let isBareId = false
+  let isIdOnly = false
   let floors = new Map<string, SessionFloor>()
 
   const floorOf = (group: string): SessionFloor => floors.get(group) ?? NOTHING_SEEN
@@ -51,20 +51,20 @@
 
   return {
     get id () { return id },
-    get isBareId () { return isBareId },
+    get isIdOnly () { return isIdOnly },
     floorOf,
     replace,
     join,
-    enter: (handle) => {
+    resume: (handle) => {
       const token = isSessionToken(handle) ? tokens.open(handle, service) : undefined
-      const entered = token?.id ?? handle
-      if (entered !== id) {
-        id = entered
+      const sessionId = token?.id ?? handle
+      if (sessionId !== id) {
+        id = sessionId
         floors = new Map()
       }
-      isBareId = token === undefined
+      isIdOnly = token === undefined
       Object.entries(token?.floors ?? {}).forEach(([group, floor]) => join(group, floor))
     },
-    seal: () => tokens.seal({ id, service, floors: Object.fromEntries(floors) })
+    createToken: () => tokens.seal({ id, service, floors: Object.fromEntries(floors) })
   }
 }
--- a/src/mysql-proxy/callers/statement-class.ts
+++ b/src/mysql-proxy/callers/statement-class.ts
@@ -1,10 +1,10 @@
-/** Which statements the proxy handles itself. All others are classed by their declared kind, not by their text. */
+/** Classifies statements by their first keyword, to find those that the proxy handles itself. */
 
-/** What a statement is to the proxy. */
+/** Class of a statement; `plain` statements are sent to a home. */
 export type StatementClass =
   | 'begin' | 'commit' | 'rollback' | 'set' | 'session-token' | 'use' | 'refused' | 'implicit-commit' | 'plain'
 
-const CLASS_BY_WORD: Record<string, StatementClass> = {
+const CLASS_BY_KEYWORD: Record<string, StatementClass> = {
   BEGIN: 'begin',
   START: 'begin',
   COMMIT: 'commit',
@@ -26,52 +26,52 @@
   RENAME: 'implicit-commit'
 }
 
-const FIRST_WORD = /^(?:\s|\/\*[\s\S]*?\*\/|(?:--[ \t]|#)[^\n]*\n)*([A-Za-z]+)/
+const FIRST_KEYWORD = /^(?:\s|\/\*[\s\S]*?\*\/|(?:--[ \t]|#)[^\n]*\n)*([A-Za-z]+)/
 const SESSION_TOKEN = /@@worksward_session\b/i
 const ROLLBACK_TO = /\bROLLBACK\b[\s\S]*\bTO\b/i
 
 /**
- * Classes a statement.
+ * Classifies a statement.
  *
  * @param sql - the statement
  * @returns its class
  */
 export function classifyStatement (sql: string): StatementClass {
-  const word = FIRST_WORD.exec(sql)?.[1]?.toUpperCase() ?? ''
-  if (word === 'SELECT' && SESSION_TOKEN.test(sql)) {
+  const keyword = FIRST_KEYWORD.exec(sql)?.[1]?.toUpperCase() ?? ''
+  if (keyword === 'SELECT' && SESSION_TOKEN.test(sql)) {
     return 'session-token'
   }
-  if (word === 'ROLLBACK' && ROLLBACK_TO.test(sql)) {
+  if (keyword === 'ROLLBACK' && ROLLBACK_TO.test(sql)) {
     return 'plain'
   }
-  return CLASS_BY_WORD[word] ?? 'plain'
+  return CLASS_BY_KEYWORD[keyword] ?? 'plain'
 }
 
-/** A `SET` statement that the proxy understands. */
-type Setting =
+/** A parsed `SET` statement. */
+type SetStatement =
   | { type: 'hint', name: string, value: string }
   | { type: 'ignored' }
   | { type: 'refused', reason: string }
 
 const SET_HINT = /^\s*SET\s+@worksward_([a-z]+)\s*=\s*(?:'((?:[^'\\]|\\.|'')*)'|NULL)\s*;?\s*$/i
-const SET_HARMLESS = [
+const IGNORED_SETTINGS = [
   /^\s*SET\s+NAMES\s+'?utf8(?:mb4)?'?(?:\s+COLLATE\s+\S+)?\s*;?\s*$/i,
   /^\s*SET\s+CHARACTER\s+SET\s+'?utf8(?:mb4)?'?\s*;?\s*$/i,
   /^\s*SET\s+(?:SESSION\s+|@@(?:session\.)?)?autocommit\s*=\s*(?:1|ON)\s*;?\s*$/i
 ]
 
 /**
- * Reads a `SET` statement.
+ * Parses a `SET` statement.
  *
  * @param sql - the statement
- * @returns what it sets
+ * @returns a hint, `ignored` for settings that apply to all connections anyway, or `refused` for all others
  */
-export function readSetting (sql: string): Setting {
+export function readSetting (sql: string): SetStatement {
   const hint = SET_HINT.exec(sql)
   if (hint !== null) {
     return { type: 'hint', name: hint[1]!.toLowerCase(), value: (hint[2] ?? '').replaceAll("''", "'") }
   }
-  return SET_HARMLESS.some((pattern) => pattern.test(sql))
+  return IGNORED_SETTINGS.some((pattern) => pattern.test(sql))
     ? { type: 'ignored' }
     : { type: 'refused', reason: 'connections are shared, so session variables cannot be set' }
 }
--- a/src/mysql-proxy/callers/statement-handlers.ts
+++ b/src/mysql-proxy/callers/statement-handlers.ts
@@ -1,4 +1,4 @@
-/** What the proxy does with a statement of each class. */
+/** Handlers of the statement classes. */
 import { RequestError } from '../../core/errors/index.ts'
 import { textColumn } from '../../mysql/answer-writer.ts'
 import { EMPTY_ANSWER, type Answer, type Statement } from '../../mysql/types.ts'
@@ -9,7 +9,7 @@
 
 type StatementHandler = (caller: Caller, statement: Statement, hint: Hint) => Promise<Answer>
 
-/** Handles a statement of each class; fails with a `RequestError` that carries the verdict. */
+/** Handler of each statement class. Handlers throw a `RequestError` with the verdict. */
 export const STATEMENT_HANDLERS: Record<StatementClass, StatementHandler> = {
   begin: async ({ transactions }) => {
     await transactions.begin()
@@ -28,7 +28,7 @@
     return EMPTY_ANSWER
   },
   'session-token': async ({ session }) =>
-    ({ type: 'rows', columns: [textColumn('@@worksward_session')], rows: [[Buffer.from(session.seal())]] }),
+    ({ type: 'rows', columns: [textColumn('@@worksward_session')], rows: [[Buffer.from(session.createToken())]] }),
   use: async (caller, { sql }) => {
     selectCallerDatabase(caller, /USE\s+`?([^`;\s]+)/i.exec(sql)?.[1] ?? '')
     return EMPTY_ANSWER
@@ -46,11 +46,11 @@
 }
 
 /**
- * Applies a `SET` statement to the defaults of a connection.
+ * Applies a `SET` statement to the default hint of a connection.
  *
- * @param defaults - the defaults
+ * @param defaults - the current default hint
  * @param sql - the statement
- * @returns the new defaults
+ * @returns the new default hint
  * @throws RequestError `UnsupportedStatement` or `MalformedHint` with verdict `not-run`
  */
 function changeDefaults (defaults: Hint, sql: string): Hint {
--- a/test/mysql-proxy/callers/plain-statement.test.ts
+++ b/test/mysql-proxy/callers/plain-statement.test.ts
@@ -6,16 +6,16 @@
 const kind = (access: Kind['access'], repeatable: boolean): Kind => ({ access, repeatable } as Kind)
 
 describe('chooseKey', () => {
-  it('gives reads no key', () => {
+  it('returns no key for a read', () => {
     expect(chooseKey(kind('read', false), { key: 'own' })).toEqual(undefined)
   })
 
-  it('keeps the key of the caller', () => {
+  it('returns the key of the caller for a write', () => {
     expect(chooseKey(kind('write', true), { key: 'own' })).toEqual('own')
     expect(chooseKey(undefined, { key: 'own' })).toEqual('own')
   })
 
-  it('creates one for a write that is not declared repeatable', () => {
+  it('creates a key only for a write that is not declared repeatable', () => {
     expect(chooseKey(kind('write', true), {})).toEqual(undefined)
     expect(typeof chooseKey(kind('write', false), {})).toEqual('string')
     expect(typeof chooseKey(undefined, {})).toEqual('string')
