--- a/test/mysql-proxy/upstreams/decisions.test.ts
+++ b/test/mysql-proxy/upstreams/decisions.test.ts
@@ -39,20 +39,20 @@
 
   it('expires observations of a failure that are not repeated', () => {
     const suspicion = createSuspicion()
-    suspicion.observe({ upstream: 'u', term: 1, failureDomain: 'a' })
-    suspicion.observe({ upstream: 'u', term: 1, failureDomain: 'b' })
-    suspicion.observe({ upstream: 'u', term: 2, failureDomain: 'c' })
-    expect(suspicion.domains('u', 1)).toEqual(2)
+    suspicion.record({ upstream: 'u', term: 1, failureDomain: 'a' })
+    suspicion.record({ upstream: 'u', term: 1, failureDomain: 'b' })
+    suspicion.record({ upstream: 'u', term: 2, failureDomain: 'c' })
+    expect(suspicion.countDomains('u', 1)).toEqual(2)
     clock.tick(1001)
-    expect(suspicion.domains('u', 1)).toEqual(0)
+    expect(suspicion.countDomains('u', 1)).toEqual(0)
   })
 
   it('counts a failure domain once, regardless of the number of its observations', () => {
     const suspicion = createSuspicion()
     for (let count = 0; count < 5; count++) {
-      suspicion.observe({ upstream: 'u', term: 1, failureDomain: 'a' })
+      suspicion.record({ upstream: 'u', term: 1, failureDomain: 'a' })
     }
-    expect(suspicion.domains('u', 1)).toEqual(1)
+    expect(suspicion.countDomains('u', 1)).toEqual(1)
   })
 
   it('rejects with the deadline and the stage when the deadline passes', async () => {
