--- a/src/mysql-proxy/configuration/declarations-in-force.ts
+++ b/src/mysql-proxy/configuration/applied-declarations.ts
@@ -1,41 +1,40 @@
 /**
- * The declarations in force on this process: the newest version of each group that it has received, and the count of
- * changes that it has applied. Both only rise, so that versions from the platform and from peers may arrive in any
- * order.
+ * The declarations applied on this process: the newest known version of each group, and the revision they belong to.
+ * Both only increase, so versions from the platform and from peers may arrive in any order.
  */
 import type { Group } from '../../core/config/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import type { Changes, VersionedGroup } from './types.ts'
 
-/** The declarations in force. */
-export interface DeclarationsInForce {
-  /** Whether any were applied. */
+/** The declarations that this process uses. */
+export interface AppliedDeclarations {
+  /** Whether a revision has been applied. */
   readonly ready: boolean
-  /** Count of changes applied. */
+  /** Latest applied revision. */
   readonly revision: number
-  /** Returns a group in force. */
+  /** Returns the applied declarations of a group; undefined when it is unknown or was removed. */
   group: (name: string) => Group | undefined
-  /** Returns all groups, removed ones included. */
+  /** Returns the applied version of every group, including removed groups. */
   versions: () => VersionedGroup[]
-  /** Calls back with every version that comes into force. */
+  /** Registers a listener for every version that is applied. */
   onChange: (listener: (version: VersionedGroup) => void) => void
-  /** Puts versions into force that are newer than those held. */
+  /** Applies the versions that are newer than the current ones. */
   apply: (changes: Changes) => void
   /**
    * Returns the groups that changed after a revision.
    *
-   * @param revision - the revision; 0 for all
+   * @param revision - the revision; 0 returns every group
    */
   changesSince: (revision: number) => Changes
 }
 
 /**
- * Creates the declarations of a process that starts; there are none yet.
+ * Creates an empty set of declarations at revision 0.
  *
- * @param logger - for the event `configuration.applied`
- * @returns the declarations in force
+ * @param logger - receives the event `configuration.applied`
+ * @returns the declarations
  */
-export function createDeclarationsInForce (logger: Logger): DeclarationsInForce {
+export function createAppliedDeclarations (logger: Logger): AppliedDeclarations {
   const groups = new Map<string, VersionedGroup>()
   const listeners: Array<(version: VersionedGroup) => void> = []
   let revision = 0
--- a/src/mysql-proxy/configuration/configuration-store.ts
+++ b/src/mysql-proxy/configuration/configuration-store.ts
@@ -1,7 +1,7 @@
 /**
- * The configuration in the platform: one row for each group, a count of changes, and a record of each change. Writes
- * are conditional on the versions they were made from, so one of two concurrent changes of a group wins. A change is
- * idempotent by its id: when the answer to a write is lost, the rows are read to see whether it was made.
+ * Stores the configuration in the platform: one row per group, a revision counter and a history of changes. Writes are
+ * conditional on the version they are based on, so only one of two concurrent changes to a group succeeds. Change IDs
+ * make retries idempotent: after a write of unknown outcome, the rows are read to find out whether it was applied.
  */
 import { WorkswardError } from '../../core/errors/index.ts'
 import type { Group } from '../../core/config/index.ts'
@@ -12,53 +12,50 @@
   recordedChangeSchema, versionedGroupSchema, type Change, type Changes, type RecordedChange, type VersionedGroup
 } from './types.ts'
 
-/** A change of one group. */
+/** A change to one group. */
 export interface GroupChange {
   name: string
   /** The new declarations; null removes the group. */
   group: Group | null
-  /** Version the change was made from; 0 when the group did not exist. */
+  /** Version the change is based on; 0 for a new group. */
   baseVersion: number
 }
 
-/** The configuration store. */
+/** Reads and writes the configuration in the platform. */
 export interface ConfigurationStore {
-  /** Reads the count of changes. */
+  /** Reads the current revision, which increases by one with each change. */
   revision: () => Promise<number>
   /**
    * Reads the groups that changed after a revision.
    *
-   * @param revision - the revision; 0 for all
+   * @param revision - the revision; 0 returns every group
    */
   changesSince: (revision: number) => Promise<Changes>
   /**
-   * Makes a change, or finds that it was made by an earlier attempt.
+   * Writes a change. Idempotent by change ID: repeating an accepted change returns its revision.
    *
    * @param groups - the groups to change
-   * @param change - who, when and why
-   * @returns the new revision
-   * @throws WorkswardError `ConfigurationConflict` when another change won, `PlatformUnavailable`
+   * @param change - ID, operator, time and reason of the change
+   * @returns the revision that the change created
+   * @throws WorkswardError `ConfigurationConflict` when a concurrent change was accepted first, `PlatformUnavailable`
    */
   accept: (groups: GroupChange[], change: Change) => Promise<number>
-  /** Reads the record of changes after a revision. */
+  /** Reads the history of changes after a revision. */
   history: (afterRevision: number) => Promise<RecordedChange[]>
-  /** Reads a group as it was in a version. */
+  /** Reads one version of a group. */
   snapshot: (name: string, version: number) => Promise<VersionedGroup | undefined>
 }
 
-/**
- * Attempts of one change: it is repeated when an answer was lost, or when a change of another group raised the count of
- * changes first.
- */
-const ATTEMPTS = 5
-/** Digits of a revision in a sort key, so that keys sort by number; part of the stored form. */
-const SORT_DIGITS = 12
+/** Attempts per change; retried after a failed call, or when a change to another group took the same revision. */
+const MAXIMUM_ATTEMPTS = 5
+/** Width to which revisions in sort keys are zero-padded, so that keys sort numerically. Part of the stored format. */
+const REVISION_DIGITS = 12
 
 /**
- * Creates the store.
+ * Creates the configuration store.
  *
- * @param table - the platform's table
- * @param objects - the platform's object store
+ * @param table - holds the groups, the revision and the history
+ * @param objects - holds a snapshot of each version of a group
  * @returns the store
  */
 export function createConfigurationStore (table: PlatformTable, objects: PlatformObjects): ConfigurationStore {
@@ -84,8 +81,8 @@
     return accepted ? revision + 1 : undefined
   }
 
-  /** Returns the revision of a change that was made already, and fails when another change won. */
-  const findOutcome = async (groups: GroupChange[], change: Change): Promise<number | undefined> => {
+  /** Returns the revision of a change that an earlier attempt wrote; throws when a concurrent change was accepted. */
+  const findAcceptedRevision = async (groups: GroupChange[], change: Change): Promise<number | undefined> => {
     for (const { name, baseVersion } of groups) {
       const current = await readGroup(name)
       if (current?.change.changeId === change.changeId) {
@@ -115,9 +112,9 @@
     },
     accept: async (groups, change) => {
       let failure: unknown
-      for (let attempt = 0; attempt < ATTEMPTS; attempt++) {
+      for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
         try {
-          const revision = await findOutcome(groups, change) ?? await tryAccept(groups, change)
+          const revision = await findAcceptedRevision(groups, change) ?? await tryAccept(groups, change)
           if (revision !== undefined) {
             return revision
           }
@@ -165,7 +162,7 @@
   ]
 }
 
-/** Snapshots are written first, so that every accepted version has one; those of changes that lost are never read. */
+/** Runs before the rows are written, so that every accepted version has a snapshot; rejected ones are never read. */
 async function writeSnapshots (objects: PlatformObjects, versions: VersionedGroup[]): Promise<void> {
   await Promise.all(versions.map(async (version) =>
     await objects.put(snapshotKey(version.name, version.version, version.change.changeId), JSON.stringify(version))))
@@ -176,7 +173,7 @@
 }
 
 function formatRevision (revision: number): string {
-  return String(revision).padStart(SORT_DIGITS, '0')
+  return String(revision).padStart(REVISION_DIGITS, '0')
 }
 
 function snapshotKey (name: string, version: number, changeId: string): string {
--- a/src/mysql-proxy/configuration/follow-changes.ts
+++ b/src/mysql-proxy/configuration/follow-changes.ts
@@ -1,6 +1,6 @@
 /**
- * Brings the declarations of this process up to date: from the platform at intervals, and from a peer that has a newer
- * revision. Peers are also asked at start while the platform does not answer.
+ * Keeps the declarations of this process up to date: polls the platform, and fetches from peers that have a newer
+ * revision. At startup, peers are also queried while the platform is unavailable.
  */
 import type { MemberSettings } from '../../core/config/index.ts'
 import { pause } from '../../core/time/deadline.ts'
@@ -8,52 +8,52 @@
 import type { Peers } from '../../peers/index.ts'
 import type { Membership } from '../membership/index.ts'
 import type { ConfigurationStore } from './configuration-store.ts'
-import type { DeclarationsInForce } from './declarations-in-force.ts'
+import type { AppliedDeclarations } from './applied-declarations.ts'
 import { changesSchema } from './types.ts'
 
-/** Time in which a peer must answer, in milliseconds. */
+/** Timeout of a request to a peer, in milliseconds. */
 const PEER_TIMEOUT_MS = 1000
-/** Pause between two attempts to find declarations at start, in milliseconds. */
-const START_PAUSE_MS = 100
-/** Least part of the interval `pollMs` between two reads of the platform; up to a whole one is added at random. */
-const LEAST_INTERVAL_PART = 0.5
+/** Delay between attempts to load the first declarations at startup, in milliseconds. */
+const STARTUP_RETRY_MS = 100
+/** Minimum polling interval as a fraction of `pollMs`; a random jitter of up to `pollMs` is added. */
+const MINIMUM_INTERVAL_FRACTION = 0.5
 
 /** Options of {@link followChanges}. */
 interface FollowOptions {
   settings: MemberSettings
-  declarations: DeclarationsInForce
+  declarations: AppliedDeclarations
   store: ConfigurationStore
   peers: Peers
   membership: Membership
 }
 
-/** Sources of changes, which are asked until it is closed. */
+/** Polls the platform until it is closed, and fetches from peers on request. */
 interface ChangesFollower {
   /**
-   * Reads what the platform has.
+   * Applies the changes that the platform has and this process lacks.
    *
    * @throws WorkswardError `PlatformUnavailable`
    */
   refresh: () => Promise<void>
   /**
-   * Reads what a peer has. Does nothing while that peer is being asked.
+   * Applies the changes that a peer has and this process lacks. Does nothing while a request to that peer is pending.
    *
-   * @param peer - where it listens
-   * @throws RequestError when the peer does not answer
+   * @param peer - endpoint of the peer
+   * @throws RequestError when the request fails or times out
    */
-  askPeer: (peer: Endpoint) => Promise<void>
-  /** Stops reading the platform. */
+  fetchFromPeer: (peer: Endpoint) => Promise<void>
+  /** Stops polling the platform. */
   close: () => void
 }
 
 /**
- * Starts following changes.
+ * Starts to poll the platform for changes.
  *
- * @param options - the declarations to bring up to date, and their sources
+ * @param options - the declarations to update, and the sources of changes
  * @returns the follower
  */
 export function followChanges ({ settings, declarations, store, peers, membership }: FollowOptions): ChangesFollower {
-  const asking = new Set<string>()
+  const pendingPeers = new Set<string>()
   const state = { closed: false }
 
   const refresh = async (): Promise<void> => {
@@ -62,37 +62,37 @@
     }
   }
 
-  const askPeer = async (peer: Endpoint): Promise<void> => {
+  const fetchFromPeer = async (peer: Endpoint): Promise<void> => {
     const name = formatEndpoint(peer)
-    if (asking.has(name)) {
+    if (pendingPeers.has(name)) {
       return
     }
-    asking.add(name)
+    pendingPeers.add(name)
     try {
       const body = { revision: declarations.revision }
       const answer = await peers.request(peer, 'configuration-since', body, PEER_TIMEOUT_MS)
       declarations.apply(changesSchema.parse(answer))
     } finally {
-      asking.delete(name)
+      pendingPeers.delete(name)
     }
   }
 
-  const follow = async (): Promise<void> => {
+  const poll = async (): Promise<void> => {
     const seeds = settings.peers.seeds.map(parseEndpoint)
     while (!state.closed) {
       const failed = await refresh().then(() => false, () => true)
       if (failed && !declarations.ready) {
-        await Promise.allSettled([...seeds, ...membership.known()].map(askPeer))
+        await Promise.allSettled([...seeds, ...membership.known()].map(fetchFromPeer))
       }
-      await pause(declarations.ready ? drawIntervalMs(settings.platform.pollMs) : START_PAUSE_MS)
+      await pause(declarations.ready ? addJitter(settings.platform.pollMs) : STARTUP_RETRY_MS)
     }
   }
-  void follow()
+  void poll()
 
-  return { refresh, askPeer, close: () => { state.closed = true } }
+  return { refresh, fetchFromPeer, close: () => { state.closed = true } }
 }
 
-/** Draws the time until the next read, so that the processes of a deployment do not read all at once. */
-function drawIntervalMs (pollMs: number): number {
-  return pollMs * (LEAST_INTERVAL_PART + Math.random())
+/** Adds random jitter to the polling interval, so that processes do not poll the platform at the same time. */
+function addJitter (pollMs: number): number {
+  return pollMs * (MINIMUM_INTERVAL_FRACTION + Math.random())
 }
--- a/src/mysql-proxy/configuration/index.ts
+++ b/src/mysql-proxy/configuration/index.ts
@@ -1,17 +1,17 @@
 /**
- * Plug-in `configuration`: the declarations in force on this process. They come from the platform, or from peers while
- * the platform does not answer; their revision only rises.
+ * Plug-in `configuration`: the declarations applied on this process. They come from the platform, or from peers while
+ * the platform is unavailable.
  */
 import type { MemberSettings } from '../../core/config/index.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
 import { createConfigurationStore, type ConfigurationStore } from './configuration-store.ts'
-import { createDeclarationsInForce, type DeclarationsInForce } from './declarations-in-force.ts'
+import { createAppliedDeclarations, type AppliedDeclarations } from './applied-declarations.ts'
 import { followChanges } from './follow-changes.ts'
 import { sinceSchema, type Changes } from './types.ts'
 
-/** Service of the plug-in. This process serves no caller until it is ready. */
-export interface Configuration extends Omit<DeclarationsInForce, 'apply' | 'changesSince'> {
-  /** Reads what the platform has. */
+/** Service of the plug-in. The process serves no callers until `ready` is true. */
+export interface Configuration extends Omit<AppliedDeclarations, 'apply' | 'changesSince'> {
+  /** Applies the changes that the platform has and this process lacks. */
   refresh: () => Promise<void>
   store: ConfigurationStore
 }
@@ -29,15 +29,15 @@
     const peers = context.use('peers')
     const membership = context.use('membership')
     const store = createConfigurationStore(table, objects)
-    const declarations = createDeclarationsInForce(context.logger)
+    const declarations = createAppliedDeclarations(context.logger)
 
     peers.handle('configuration-since', async (body) =>
       declarations.changesSince(sinceSchema.parse(body).revision) satisfies Changes)
     peers.handle('configuration-revision', async () => declarations.revision)
     const follower = followChanges({ settings, declarations, store, peers, membership })
     membership.shareRevision(() => declarations.revision, (peer) => {
-      // A peer that does not answer needs no log line: the next heartbeat from a newer one asks again.
-      follower.askPeer(peer).catch(() => {})
+      // Failures are not logged: the next heartbeat with a newer revision triggers another request.
+      follower.fetchFromPeer(peer).catch(() => {})
     })
 
     return {
--- a/src/mysql-proxy/configuration/types.ts
+++ b/src/mysql-proxy/configuration/types.ts
@@ -1,46 +1,46 @@
-/** Stored and transferred forms of the configuration: versions of groups, changes, and the messages between peers. */
+/** Schemas of the configuration as it is stored in the platform and sent between peers. */
 import * as z from 'zod'
 import { groupSchema } from '../../core/config/index.ts'
 
-/** Who changed what, when and why. */
+/** Metadata of a change. */
 const changeSchema = z.object({
-  /** Identity of the change; a change whose answer was lost is found by it. */
+  /** Unique ID, which makes a retried change idempotent. */
   changeId: z.string(),
   operator: z.string(),
-  /** ISO time. */
+  /** Time of the change, in ISO 8601 format. */
   at: z.string(),
   reason: z.string()
 })
 
-/** The configuration of one group. */
+/** One version of a group's declarations. */
 export const versionedGroupSchema = z.object({
   name: z.string(),
-  /** Raised by one with each change of the group. */
+  /** Increases by one with each change to the group. */
   version: z.number().int(),
-  /** Revision of the whole configuration that made this version. */
+  /** Configuration revision in which this version was created. */
   revision: z.number().int(),
-  /** The declarations, or null when the group was removed. */
+  /** The declarations; null when the group was removed. */
   group: groupSchema.nullable(),
   change: changeSchema
 })
 
-/** An entry of the record of changes. */
+/** An entry in the history of changes. */
 export const recordedChangeSchema = changeSchema.extend({
   revision: z.number().int(),
   groups: z.array(z.object({ name: z.string(), version: z.number().int() }))
 })
 
-/** Body of a request for changes. */
+/** Body of the peer request `configuration-since`. */
 export const sinceSchema = z.object({ revision: z.number().int() })
 
-/** Answer to a request for changes. */
+/** Response to the peer request `configuration-since`. */
 export const changesSchema = z.object({ revision: z.number().int(), groups: z.array(versionedGroupSchema) })
 
-/** Who changed what, when and why. */
+/** Metadata of a change. */
 export type Change = z.infer<typeof changeSchema>
-/** The configuration of one group. */
+/** One version of a group's declarations. */
 export type VersionedGroup = z.infer<typeof versionedGroupSchema>
-/** An entry of the record of changes. */
+/** An entry in the history of changes. */
 export type RecordedChange = z.infer<typeof recordedChangeSchema>
-/** Groups that changed, and the revision they bring a process to. */
+/** Changed groups, and the revision that a process reaches by applying them. */
 export type Changes = z.infer<typeof changesSchema>
--- a/test/mysql-proxy/configuration/configuration-store.test.ts
+++ b/test/mysql-proxy/configuration/configuration-store.test.ts
@@ -15,7 +15,7 @@
   let platform: PlatformServer
   let connection: PlatformConnection
   let store: ConfigurationStore
-  let names = 0
+  let groupCount = 0
 
   before(async () => {
     platform = await servePlatform({
@@ -34,14 +34,14 @@
 
   const change = (changeId: string) => ({ changeId, operator: 'o', at: '2026-01-01T00:00:00Z', reason: '' })
 
-  it('accepts each change at most once and never two from one version, whatever answers are lost', async () => {
-    const step = fc.record({ racers: fc.integer({ min: 1, max: 3 }), lost: fc.integer({ min: 0, max: 3 }) })
+  it('accepts exactly one of several concurrent changes to a version when write responses are lost', async () => {
+    const step = fc.record({ writers: fc.integer({ min: 1, max: 3 }), lostResponses: fc.integer({ min: 0, max: 3 }) })
     await fc.assert(fc.asyncProperty(fc.array(step, { minLength: 1, maxLength: 4 }), async (steps) => {
-      const name = `group-${++names}`
+      const name = `group-${++groupCount}`
       let version = 0
-      for (const [turn, { racers, lost }] of steps.entries()) {
-        platform.faults.loseWriteAnswers = lost
-        const ids = Array.from({ length: racers }, (_value, index) => `${name}-${turn}-${index}`)
+      for (const [round, { writers, lostResponses }] of steps.entries()) {
+        platform.faults.loseWriteAnswers = lostResponses
+        const ids = Array.from({ length: writers }, (_value, index) => `${name}-${round}-${index}`)
         const results = await Promise.allSettled(ids.map(async (id) =>
           await store.accept([{ name, group: GROUP, baseVersion: version }], change(id))))
         platform.faults.loseWriteAnswers = 0
@@ -55,12 +55,12 @@
     }), { seed: 7, numRuns: 15 })
   })
 
-  it('refuses clearly while the platform is down, and a change made twice afterwards is one', async () => {
+  it('rejects a change while the platform is unavailable, and accepts a repeated change only once afterwards', async () => {
     platform.faults.outage = true
-    const wanted = [{ name: 'down', group: GROUP, baseVersion: 0 }]
-    await expect(store.accept(wanted, change('down-1'))).toBeRejectedWith('the platform did not answer')
+    const groupChanges = [{ name: 'down', group: GROUP, baseVersion: 0 }]
+    await expect(store.accept(groupChanges, change('down-1'))).toBeRejectedWith('the platform did not answer')
     platform.faults.outage = false
-    const first = await store.accept(wanted, change('down-1'))
-    expect(await store.accept(wanted, change('down-1'))).toEqual(first)
+    const first = await store.accept(groupChanges, change('down-1'))
+    expect(await store.accept(groupChanges, change('down-1'))).toEqual(first)
   })
 })
