--- a/src/mysql-proxy/operators/authentication.ts
+++ b/src/mysql-proxy/operators/authentication.ts
@@ -1,42 +1,42 @@
 /**
- * Which operator a request comes from, by the key presented, and what that operator may do. Settings hold SHA-256
- * digests of keys; they are compared in constant time.
+ * Authenticates operators by their key and checks their rights. Settings hold SHA-256 digests of keys, which are
+ * compared in constant time.
  */
 import { createHash, timingSafeEqual } from 'node:crypto'
 import type { OPERATOR_RIGHTS, OperatorSettings } from '../../core/config/index.ts'
 import { WorkswardError } from '../../core/errors/index.ts'
 
-/** Something an operator may be allowed to do. */
+/** Kind of access that an operator can be granted. */
 type OperatorRight = typeof OPERATOR_RIGHTS[number]
 
-/** An operator. */
+/** The authenticated sender of a request. */
 export interface Operator {
   name: string
   /**
-   * Fails unless the operator has a right.
+   * Throws when the operator lacks a right.
    *
-   * @param right - the right
+   * @param right - the required right
    * @throws WorkswardError `NotAllowed`
    */
   demand: (right: OperatorRight) => void
 }
 
 /**
- * Hashes a key as settings hold it.
+ * Hashes a key for comparison with the digests in the settings.
  *
  * @param key - the key
- * @returns SHA-256 in hexadecimal
+ * @returns SHA-256 digest in hexadecimal
  */
 export function hashOperatorKey (key: string): string {
   return createHash('sha256').update(key).digest('hex')
 }
 
 /**
- * Finds the operator of a request.
+ * Identifies the operator who sent a request.
  *
- * @param operators - the operators of the settings
- * @param authorization - the header `Authorization: Bearer KEY`
- * @returns the operator; one without rights when the key is unknown
+ * @param operators - operators from the settings
+ * @param authorization - value of the `Authorization` header, in the form `Bearer KEY`
+ * @returns the operator; has no rights when the key is unknown
  */
 export function authenticateOperator (operators: OperatorSettings[], authorization: string | undefined): Operator {
   const key = /^Bearer (.+)$/.exec(authorization ?? '')?.[1] ?? ''
--- a/src/mysql-proxy/operators/change.ts
+++ b/src/mysql-proxy/operators/change.ts
@@ -1,46 +1,45 @@
-/** Changes of the declarations, as pure functions: what differs, and single values by their path. */
+/** Pure functions that diffValues declarations and change single values by path. */
 import { groupSchema, type Declarations, type Group } from '../../core/config/index.ts'
 import { WorkswardError } from '../../core/errors/index.ts'
 import type { GroupChange } from '../configuration/configuration-store.ts'
 import type { VersionedGroup } from '../configuration/types.ts'
 import { findNearest } from '../language/mistake.ts'
 
-/** A value that a change would make different. */
+/** A value that differs between the applied and the new declarations. */
 interface Difference {
   path: string
   before: string
   after: string
 }
 
-/** A tree of values. */
-type Tree = Record<string, unknown>
+type JsonObject = Record<string, unknown>
 
 /**
- * Lists what declarations would change.
+ * Lists the values that new declarations would change.
  *
- * @param inForce - the groups in force
- * @param wanted - the declarations
- * @returns the differences, by path
+ * @param applied - the applied groups
+ * @param desired - the new declarations
+ * @returns the differences, ordered by path
  */
-export function listDifferences (inForce: VersionedGroup[], wanted: Declarations): Difference[] {
-  const present = inForce.filter(({ group }) => group !== null)
+export function listDifferences (applied: VersionedGroup[], desired: Declarations): Difference[] {
+  const present = applied.filter(({ group }) => group !== null)
   const before = Object.fromEntries(present.map(({ name, group }) => [name, group]))
-  return compare('', before, wanted.groups)
+  return diffValues('', before, desired.groups)
 }
 
 /**
- * Builds the changes that bring declarations into force.
+ * Builds the changes that replace the applied groups by new declarations.
  *
- * @param inForce - the groups in force
- * @param wanted - the declarations; groups that are not in them are removed
+ * @param applied - the applied groups
+ * @param desired - the new declarations; groups that they do not contain are removed
  * @returns one change for each group that differs
  */
-export function buildChanges (inForce: VersionedGroup[], wanted: Declarations): GroupChange[] {
-  const known = new Map(inForce.map((version) => [version.name, version]))
-  const names = new Set([...known.keys(), ...Object.keys(wanted.groups)])
+export function buildChanges (applied: VersionedGroup[], desired: Declarations): GroupChange[] {
+  const appliedByName = new Map(applied.map((version) => [version.name, version]))
+  const names = new Set([...appliedByName.keys(), ...Object.keys(desired.groups)])
   return [...names].flatMap((name): GroupChange[] => {
-    const before = known.get(name)
-    const group = wanted.groups[name] ?? null
+    const before = appliedByName.get(name)
+    const group = desired.groups[name] ?? null
     const same = JSON.stringify(sortKeys(before?.group ?? null)) === JSON.stringify(sortKeys(group))
     return same ? [] : [{ name, group, baseVersion: before?.version ?? 0 }]
   })
@@ -50,27 +49,27 @@
  * Changes one value of a group.
  *
  * @param group - the group
- * @param path - path of the value below the group
+ * @param path - keys that lead from the group to the value
  * @param value - the new value; undefined restores the default
  * @returns the changed group
- * @throws WorkswardError `InvalidCommand` when there is no such value, or it cannot be that
+ * @throws WorkswardError `InvalidCommand` when the path does not exist or the value is invalid
  */
 export function changeValue (group: Group, path: string[], value: string | number | boolean | undefined): Group {
-  const changed = structuredClone(group) as Tree
-  const parents = path.slice(0, -1)
-  const last = path.at(-1) ?? ''
-  let place: unknown = changed
-  for (const part of parents) {
-    place = step(place, part)
+  const changed = structuredClone(group) as JsonObject
+  const parentPath = path.slice(0, -1)
+  const lastKey = path.at(-1) ?? ''
+  let parent: unknown = changed
+  for (const key of parentPath) {
+    parent = getChild(parent, key)
   }
-  const tree = place as Tree
-  if (Array.isArray(place) || tree === null || typeof tree !== 'object' || !(last in tree)) {
-    throw unknownValue(last, place)
+  const container = parent as JsonObject
+  if (Array.isArray(parent) || container === null || typeof container !== 'object' || !(lastKey in container)) {
+    throw createUnknownValueError(lastKey, parent)
   }
   if (value === undefined) {
-    delete tree[last]
+    delete container[lastKey]
   } else {
-    tree[last] = value
+    container[lastKey] = value
   }
   const result = groupSchema.safeParse(changed)
   if (!result.success) {
@@ -80,42 +79,42 @@
   return result.data
 }
 
-/** Upstreams are found by their name, other values by their key. */
-function step (place: unknown, part: string): unknown {
-  const next = Array.isArray(place)
-    ? place.find((item: { name?: string }) => item.name === part)
-    : (place as Tree | null)?.[part]
-  if (next === undefined) {
-    throw unknownValue(part, place)
+/** Returns a child value: elements of arrays are found by name, other values by key. */
+function getChild (parent: unknown, key: string): unknown {
+  const child = Array.isArray(parent)
+    ? parent.find((item: { name?: string }) => item.name === key)
+    : (parent as JsonObject | null)?.[key]
+  if (child === undefined) {
+    throw createUnknownValueError(key, parent)
   }
-  return next
+  return child
 }
 
-function unknownValue (part: string, place: unknown): WorkswardError<'InvalidCommand'> {
-  const known = Array.isArray(place)
-    ? place.map((item: { name: string }) => item.name)
-    : Object.keys((place ?? {}) as Tree)
-  const nearest = findNearest(part, known)
+function createUnknownValueError (key: string, parent: unknown): WorkswardError<'InvalidCommand'> {
+  const validKeys = Array.isArray(parent)
+    ? parent.map((item: { name: string }) => item.name)
+    : Object.keys((parent ?? {}) as JsonObject)
+  const nearest = findNearest(key, validKeys)
   const suggestion = nearest === undefined ? '' : `; did you mean '${nearest}'?`
   return new WorkswardError('InvalidCommand', {
-    reason: `there is no declared value '${part}'${suggestion} (there are: ${known.join(', ')})`
+    reason: `there is no declared value '${key}'${suggestion} (there are: ${validKeys.join(', ')})`
   })
 }
 
-function compare (path: string, before: unknown, after: unknown): Difference[] {
-  if (isTree(before) && isTree(after)) {
+function diffValues (path: string, before: unknown, after: unknown): Difference[] {
+  if (isJsonObject(before) && isJsonObject(after)) {
     const keys = [...new Set([...Object.keys(before), ...Object.keys(after)])].sort()
-    return keys.flatMap((key) => compare(path === '' ? key : `${path}.${key}`, before[key], after[key]))
+    return keys.flatMap((key) => diffValues(path === '' ? key : `${path}.${key}`, before[key], after[key]))
   }
-  const [left, right] = [show(before), show(after)]
+  const [left, right] = [formatValue(before), formatValue(after)]
   return left === right ? [] : [{ path, before: left, after: right }]
 }
 
-function isTree (value: unknown): value is Tree {
+function isJsonObject (value: unknown): value is JsonObject {
   return typeof value === 'object' && value !== null && !Array.isArray(value)
 }
 
-function show (value: unknown): string {
+function formatValue (value: unknown): string {
   return value === undefined ? '-' : JSON.stringify(sortKeys(value))
 }
 
@@ -123,7 +122,7 @@
   if (Array.isArray(value)) {
     return value.map(sortKeys)
   }
-  return isTree(value)
+  return isJsonObject(value)
     ? Object.fromEntries(Object.keys(value).sort().map((key) => [key, sortKeys(value[key])]))
     : value
 }
--- a/src/mysql-proxy/operators/commands.ts
+++ b/src/mysql-proxy/operators/commands.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' commands, one handler for each. A handler checks the operator's right to change; the right to read is
- * checked where the request arrives.
+ * Handlers of the operators' commands. Handlers of commands that change something check the right to change; the HTTP
+ * endpoint has already checked the right to read.
  */
 import type { ProxySettings } from '../../core/config/index.ts'
 import { WorkswardError } from '../../core/errors/index.ts'
@@ -14,23 +14,23 @@
 import type {
   Command, DrainCommand, ExplainCommand, PromoteCommand, SetCommand, ShowCommand, UnsetCommand
 } from '../language/types.ts'
-import type { Acceptance } from './acceptance.ts'
+import type { ConfigurationWriter } from './configuration-writer.ts'
 import type { Operator } from './authentication.ts'
 import { changeValue } from './change.ts'
 import { PEER_TIMEOUT_MS } from './consts.ts'
 import { selectRows, TABLES, type TableRow, type TableSources } from './tables.ts'
-import { requestWork, setOwnWork } from './work-state.ts'
+import { drainOrRestoreSelf, requestDrainOrRestore } from './drain-state.ts'
 
-/** Time in which `explain` must find an upstream, in milliseconds. */
+/** Deadline of the request that `explain` sends, in milliseconds. */
 const EXPLAIN_DEADLINE_MS = 2000
 
-/** What commands work on. */
+/** Dependencies of the command handlers. */
 export interface CommandContext {
   settings: ProxySettings
   logger: Logger
   peers: Peers
   sources: TableSources
-  acceptance: Acceptance
+  configurationWriter: ConfigurationWriter
 }
 
 type CommandHandlers = {
@@ -45,21 +45,21 @@
   show,
   set: setValue,
   unset: setValue,
-  drain: setWork,
-  restore: setWork,
+  drain: drainOrRestore,
+  restore: drainOrRestore,
   promote,
   explain,
   watch: async (context, command) => await show(context, command.show)
 }
 
 /**
- * Runs a command.
+ * Parses and runs a command.
  *
- * @param context - what commands work on
- * @param text - the command, as the operator wrote it
- * @param operator - on whose behalf it runs
- * @returns the rows to show
- * @throws WorkswardError `InvalidCommand`, `NotAllowed`, or what the command fails with
+ * @param context - dependencies of the command handlers
+ * @param text - the command
+ * @param operator - the operator who sent the command
+ * @returns the resulting rows
+ * @throws WorkswardError `InvalidCommand`, `NotAllowed`, or an error of the command itself
  */
 export async function runCommand (context: CommandContext, text: string, operator: Operator): Promise<TableRow[]> {
   const command = parseCommand(text)
@@ -74,33 +74,36 @@
 }
 
 async function setValue (
-  { acceptance }: CommandContext, command: SetCommand | UnsetCommand, operator: Operator
+  { configurationWriter }: CommandContext, command: SetCommand | UnsetCommand, operator: Operator
 ): Promise<TableRow[]> {
   const [name = '', ...path] = command.path
   const value = command.type === 'set' ? command.value : undefined
-  return await acceptance.changeGroup(name, operator, command.reason ?? '', (group) => changeValue(group, path, value))
+  return await configurationWriter.changeGroup(name, operator, command.reason ?? '', (group) =>
+    changeValue(group, path, value))
 }
 
-async function setWork (context: CommandContext, command: DrainCommand, operator: Operator): Promise<TableRow[]> {
+async function drainOrRestore (
+  context: CommandContext, command: DrainCommand, operator: Operator
+): Promise<TableRow[]> {
   return command.what === 'upstream'
-    ? await setUpstreamWork(context, command, operator)
-    : await setProxyWork(context, command, operator)
+    ? await drainOrRestoreUpstream(context, command, operator)
+    : await drainOrRestoreProxy(context, command, operator)
 }
 
-async function setUpstreamWork (
-  { sources, acceptance }: CommandContext, { type, name }: DrainCommand, operator: Operator
+async function drainOrRestoreUpstream (
+  { sources, configurationWriter }: CommandContext, { type, name }: DrainCommand, operator: Operator
 ): Promise<TableRow[]> {
-  const found = sources.configuration.versions().find(({ group }) =>
+  const owner = sources.configuration.versions().find(({ group }) =>
     group?.upstreams.some((upstream) => upstream.name === name))
-  if (found === undefined) {
+  if (owner === undefined) {
     throw new WorkswardError('InvalidCommand', { reason: `there is no upstream '${name}'` })
   }
   const state = type === 'drain' ? 'draining' : 'active'
-  return await acceptance.changeGroup(found.name, operator, `${type} ${name}`, (group) =>
+  return await configurationWriter.changeGroup(owner.name, operator, `${type} ${name}`, (group) =>
     changeValue(group, ['upstreams', name, 'state'], state))
 }
 
-async function setProxyWork (
+async function drainOrRestoreProxy (
   { sources, settings, logger, peers }: CommandContext, { type, name }: DrainCommand, operator: Operator
 ): Promise<TableRow[]> {
   operator.demand('change')
@@ -111,18 +114,20 @@
   }
   logger.log('info', `proxy.${type}`, { peer: name, operator: operator.name })
   if (name === settings.host.name) {
-    await setOwnWork(membership, type)
+    await drainOrRestoreSelf(membership, type)
   } else {
-    await requestWork(peers, member, type)
+    await requestDrainOrRestore(peers, member, type)
   }
   return [{ proxy: name, state: type === 'drain' ? 'leaving' : 'live' }]
 }
 
 async function promote (
-  { sources, logger, peers, acceptance }: CommandContext, { group, upstream }: PromoteCommand, operator: Operator
+  { sources, logger, peers, configurationWriter }: CommandContext,
+  { group, upstream }: PromoteCommand,
+  operator: Operator
 ): Promise<TableRow[]> {
   operator.demand('change')
-  await acceptance.currentGroup(group)
+  await configurationWriter.readCurrentGroup(group)
   const [keeper] = placeGroup(group, sources.membership.present('keeper'), KEEPERS_PER_GROUP)
   if (keeper === undefined) {
     throw new WorkswardError('InvalidCommand', { reason: 'no keeper is present' })
--- a/src/mysql-proxy/operators/console-paths.ts
+++ b/src/mysql-proxy/operators/console-paths.ts
@@ -1,4 +1,4 @@
-/** The HTTP paths of the console: what each takes as its body and answers. */
+/** The HTTP paths of the console: request schemas and handlers. */
 import * as z from 'zod'
 import { declarationsSchema } from '../../core/config/index.ts'
 import { WorkswardError } from '../../core/errors/index.ts'
@@ -15,7 +15,7 @@
 const rollbackBodySchema = changeBodySchema.extend({ group: z.string(), version: z.number().int() })
 const progressBodySchema = z.object({ revision: z.number().int() })
 
-/** Answers the request to each path; the operator has the right to read. */
+/** Handlers by path; the right to read is checked before they are called. */
 export const CONSOLE_PATHS: Record<string, (context: CommandContext, request: OperatorRequest) => Promise<unknown>> = {
   '/query': async (context, { operator, body }) => ({
     rows: await runCommand(context, queryBodySchema.parse(body).query, operator)
@@ -34,7 +34,9 @@
   return { rows: listDifferences(configuration.versions(), planBodySchema.parse(body).declarations) }
 }
 
-async function apply ({ sources, acceptance }: CommandContext, { operator, body }: OperatorRequest): Promise<unknown> {
+async function apply (
+  { sources, configurationWriter }: CommandContext, { operator, body }: OperatorRequest
+): Promise<unknown> {
   const { declarations, changeId, reason } = applyBodySchema.parse(body)
   operator.demand('change')
   const { configuration } = sources
@@ -42,33 +44,33 @@
   const changes = buildChanges(configuration.versions(), declarations)
   const revision = changes.length === 0
     ? configuration.revision
-    : await acceptance.accept(changes, operator, changeId, reason)
+    : await configurationWriter.accept(changes, operator, changeId, reason)
   return { revision, changeId, groups: changes.map(({ name }) => name) }
 }
 
-/** An old version comes back as a new one, so that versions only rise. */
+/** Writes the declarations of an earlier version as a new version, so that version numbers only increase. */
 async function rollBack (
-  { sources, acceptance }: CommandContext, { operator, body }: OperatorRequest
+  { sources, configurationWriter }: CommandContext, { operator, body }: OperatorRequest
 ): Promise<unknown> {
   const { group, version, changeId, reason } = rollbackBodySchema.parse(body)
   operator.demand('change')
-  const current = await acceptance.currentGroup(group)
+  const current = await configurationWriter.readCurrentGroup(group)
   const snapshot = await sources.configuration.store.snapshot(group, version)
   if (snapshot === undefined) {
     throw new WorkswardError('InvalidCommand', { reason: `group ${group} has no version ${version}` })
   }
   const change = { name: group, group: snapshot.group, baseVersion: current.version }
-  const revision = await acceptance.accept([change], operator, changeId, reason)
+  const revision = await configurationWriter.accept([change], operator, changeId, reason)
   return { revision, changeId, version: current.version + 1 }
 }
 
-/** Asks every member that is not gone which revision it has; -1 stands for one that does not answer. */
+/** Reads the applied revision of every known member; -1 when a member does not answer. */
 async function readProgress ({ sources, settings, peers }: CommandContext, revision: number): Promise<TableRow[]> {
   const { configuration, membership } = sources
   return await Promise.all(membership.known().map(async (member) => {
-    const has = member.host === settings.host.name
+    const applied = member.host === settings.host.name
       ? configuration.revision
       : await peers.request(member, 'configuration-revision', {}, PEER_TIMEOUT_MS).then(Number, () => -1)
-    return { host: member.host, role: member.role, revision: has, inForce: has >= revision }
+    return { host: member.host, role: member.role, revision: applied, inForce: applied >= revision }
   }))
 }
--- a/src/mysql-proxy/operators/console.ts
+++ b/src/mysql-proxy/operators/console.ts
@@ -1,10 +1,10 @@
-/** Plug-in `console`: the operators' commands and changes on a proxy, by HTTP. */
+/** Plug-in `console`: serves the operators' commands and configuration changes over HTTP on a proxy. */
 import type { ProxySettings } from '../../core/config/index.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
-import { createAcceptance } from './acceptance.ts'
+import { createConfigurationWriter } from './configuration-writer.ts'
 import type { CommandContext } from './commands.ts'
 import { CONSOLE_PATHS } from './console-paths.ts'
-import { answerWorkRequests } from './work-state.ts'
+import { handleDrainRequests } from './drain-state.ts'
 
 declare module '../../core/kernel/index.ts' {
   interface Services { console: object }
@@ -23,12 +23,12 @@
       logger: context.logger,
       peers,
       sources: { configuration, membership, routing: context.use('routing'), callers: context.use('callers') },
-      acceptance: createAcceptance(configuration, context.logger)
+      configurationWriter: createConfigurationWriter(configuration, context.logger)
     }
 
-    answerWorkRequests(peers, membership)
-    Object.entries(CONSOLE_PATHS).forEach(([path, answer]) =>
-      operators.handle(path, async (request) => await answer(commandContext, request)))
+    handleDrainRequests(peers, membership)
+    Object.entries(CONSOLE_PATHS).forEach(([path, handler]) =>
+      operators.handle(path, async (request) => await handler(commandContext, request)))
     return { service: {} }
   }
 })
--- a/src/mysql-proxy/operators/consts.ts
+++ b/src/mysql-proxy/operators/consts.ts
@@ -1,6 +1,2 @@
-/** What several modules of the operators' part share. */
-
-/**
- * Time in which another process must answer a request made for an operator, in milliseconds; a promotion counts too.
- */
+/** Timeout of requests to other processes that an operator's command causes, promotions included, in milliseconds. */
 export const PEER_TIMEOUT_MS = 3000
--- a/src/mysql-proxy/operators/index.ts
+++ b/src/mysql-proxy/operators/index.ts
@@ -1,6 +1,6 @@
 /**
- * Plug-in `operators`: an HTTP endpoint for readiness, liveness, metrics, dumps and the paths that other plug-ins add.
- * The paths it owns are public; the others need an operator's key with the right to read.
+ * Plug-in `operators`: the HTTP endpoint for readiness, liveness, metrics, dumps and the paths that other plug-ins add.
+ * The built-in paths are public; paths of other plug-ins require the key of an operator with the right to read.
  */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -9,21 +9,21 @@
 import { registerPlugin } from '../../core/kernel/index.ts'
 import { authenticateOperator, type Operator } from './authentication.ts'
 
-/** A request of an operator. */
+/** An authenticated request. */
 export interface OperatorRequest {
   operator: Operator
-  /** Parsed JSON body; undefined when there was none. */
+  /** Parsed JSON body; undefined when the request had none. */
   body: unknown
 }
 
-/** Answers an operator's request with a value that is sent as JSON. */
+/** Handles an operator's request; the returned value is sent as JSON. */
 type OperatorHandler = (request: OperatorRequest) => Promise<unknown>
 
 /** Service of the plug-in. */
 interface Operators {
   /** Port of the HTTP endpoint. */
   port: number
-  /** Registers the handler of a path; the operator must have the right to read. */
+  /** Registers the handler of a path, which requires the right to read. */
   handle: (path: string, handler: OperatorHandler) => void
 }
 
@@ -31,16 +31,15 @@
   interface Services { operators: Operators }
 }
 
-/** An answer of the endpoint. */
-interface HttpAnswer {
+interface HttpResponse {
   status: number
   contentType: string
   body: string
 }
 
-/** Greatest body of a request, in bytes. */
+/** Maximum size of a request body, in bytes. */
 const MAXIMUM_BODY_BYTES = 4_000_000
-const JSON_TYPE = 'application/json'
+const JSON_CONTENT_TYPE = 'application/json'
 
 registerPlugin({
   name: 'operators',
@@ -52,29 +51,29 @@
     const { registry } = context.use('metrics')
     const handlers = new Map<string, OperatorHandler>()
 
-    const publicPaths: Record<string, () => Promise<HttpAnswer>> = {
-      '/live': async () => toJson(200, { live: true }),
+    const publicPaths: Record<string, () => Promise<HttpResponse>> = {
+      '/live': async () => jsonResponse(200, { live: true }),
       '/ready': async () => {
         const ready = configuration.ready && membership.self.state === 'live'
-        return toJson(ready ? 200 : 503, { ready })
+        return jsonResponse(ready ? 200 : 503, { ready })
       },
       '/metrics': async () => ({ status: 200, contentType: registry.contentType, body: await registry.metrics() }),
-      '/dump': async () => toJson(200, { ...context.dump(), process: describeProcess() })
+      '/dump': async () => jsonResponse(200, { ...context.dump(), process: describeProcess() })
     }
 
-    const answer = async (request: IncomingMessage): Promise<HttpAnswer> => {
+    const handleRequest = async (request: IncomingMessage): Promise<HttpResponse> => {
       const path = (request.url ?? '/').split('?')[0]!
       const handle = handlers.get(path)
       if (handle === undefined) {
-        return await publicPaths[path]?.() ?? toJson(404, { error: `no path ${path}` })
+        return await publicPaths[path]?.() ?? jsonResponse(404, { error: `no path ${path}` })
       }
       const operator = authenticateOperator(settings.operators, request.headers.authorization)
       operator.demand('read')
-      return toJson(200, await handle({ operator, body: await readBody(request) }))
+      return jsonResponse(200, await handle({ operator, body: await readBody(request) }))
     }
 
     const server = createServer((request: IncomingMessage, response: ServerResponse) => {
-      answer(request).catch(describeFailure).then(({ status, contentType, body }) => {
+      handleRequest(request).catch(errorResponse).then(({ status, contentType, body }) => {
         response.writeHead(status, { 'content-type': contentType }).end(body)
       }, () => request.socket.destroy())
     })
@@ -96,7 +95,7 @@
   }
 })
 
-/** Memory and processor time. Garbage is collected first where the process exposes that, so that sizes compare. */
+/** Returns uptime, memory and CPU usage. Runs a garbage collection first if available, so that sizes are comparable. */
 function describeProcess (): unknown {
   globalThis.gc?.()
   return { uptimeSeconds: process.uptime(), memory: process.memoryUsage(), processor: process.cpuUsage() }
@@ -122,19 +121,19 @@
   }
 }
 
-/** HTTP status by entry of the error catalogue; 500 for all others. */
+/** HTTP status by entry of the error catalogue; other errors have status 500. */
 const STATUS_BY_ERROR: Record<string, number> = {
   NotAllowed: 403, InvalidCommand: 400, InvalidSettings: 400, ConfigurationConflict: 409, PlatformUnavailable: 503
 }
 
-function describeFailure (thrown: unknown): HttpAnswer {
+function errorResponse (thrown: unknown): HttpResponse {
   if (thrown instanceof WorkswardError) {
     const { entry, title, message, hint, details } = thrown
-    return toJson(STATUS_BY_ERROR[entry] ?? 500, { error: { entry, title, message, hint, details } })
+    return jsonResponse(STATUS_BY_ERROR[entry] ?? 500, { error: { entry, title, message, hint, details } })
   }
-  return toJson(500, { error: { message: describeThrown(thrown) } })
+  return jsonResponse(500, { error: { message: describeThrown(thrown) } })
 }
 
-function toJson (status: number, body: unknown): HttpAnswer {
-  return { status, contentType: JSON_TYPE, body: JSON.stringify(body, null, 2) + '\n' }
+function jsonResponse (status: number, body: unknown): HttpResponse {
+  return { status, contentType: JSON_CONTENT_TYPE, body: JSON.stringify(body, null, 2) + '\n' }
 }
--- a/src/mysql-proxy/operators/tables.ts
+++ b/src/mysql-proxy/operators/tables.ts
@@ -1,4 +1,4 @@
-/** The tables that operators can show, and how rows are selected and ordered. */
+/** The tables that operators can query, and the filtering and ordering of their rows. */
 import type { Configuration } from '../configuration/index.ts'
 import type { VersionedGroup } from '../configuration/types.ts'
 import type { Callers } from '../callers/index.ts'
@@ -11,7 +11,7 @@
 /** A row of a table. */
 export type TableRow = Record<string, string | number | boolean>
 
-/** What tables are read from. */
+/** Services that tables are read from. */
 export interface TableSources {
   configuration: Configuration
   membership: Membership
@@ -19,10 +19,10 @@
   callers: Callers
 }
 
-/** Changes that the table `history` shows, the latest ones. */
+/** Maximum number of changes in the table `history`; older ones are left out. */
 const HISTORY_LENGTH = 200
 
-/** Reads each table. */
+/** Functions that read the rows, by table. */
 export const TABLES: Record<TableName, (sources: TableSources) => Promise<TableRow[]> | TableRow[]> = {
   groups: async (sources) => {
     await sources.routing.openPlacedGroups()
@@ -92,8 +92,8 @@
 function describeUpstreams ({ routing }: TableSources, { name, group }: VersionedGroup): TableRow[] {
   const view = routing.homes().get(name)?.view
   return (group?.upstreams ?? []).map((upstream) => {
-    const known = view?.upstreams.get(upstream.name)
-    const status = known?.channel.latest?.status
+    const upstreamState = view?.upstreams.get(upstream.name)
+    const status = upstreamState?.channel.latest?.status
     return {
       group: name,
       upstream: upstream.name,
@@ -103,25 +103,27 @@
       role: status?.role ?? '',
       term: status?.term ?? 0,
       position: status?.position ?? 0,
-      reachable: known?.reachable ?? false,
+      reachable: upstreamState?.reachable ?? false,
       age: Math.round(Math.min(view?.age.ageMs(upstream.name) ?? Infinity, Number.MAX_SAFE_INTEGER))
     }
   })
 }
 
 /**
- * Selects, orders and limits rows.
+ * Filters, orders and limits rows.
  *
- * @param rows - the rows
+ * @param rows - all rows of the table
  * @param command - conditions, order and limit
- * @returns the rows to show
+ * @returns the selected rows
  * @throws WorkswardError `InvalidCommand` for an unknown column
  */
 export function selectRows (rows: TableRow[], command: ShowCommand): TableRow[] {
   const columns = Object.keys(rows[0] ?? {})
-  const used = [...command.conditions.map(({ column }) => column), ...(command.orderBy ? [command.orderBy.column] : [])]
-  used.forEach((column) => checkColumn(column, columns, command.table))
-  const selected = rows.filter((row) => command.conditions.every((condition) => holds(row, condition)))
+  const referenced = [
+    ...command.conditions.map(({ column }) => column), ...(command.orderBy ? [command.orderBy.column] : [])
+  ]
+  referenced.forEach((column) => checkColumn(column, columns, command.table))
+  const selected = rows.filter((row) => command.conditions.every((condition) => matchesCondition(row, condition)))
   const { orderBy } = command
   if (orderBy !== undefined) {
     const sign = orderBy.descending ? -1 : 1
@@ -130,7 +132,7 @@
   return selected.slice(0, command.limit ?? selected.length)
 }
 
-const COMPARERS: Record<Condition['comparison'], (order: number) => boolean> = {
+const COMPARATORS: Record<Condition['comparison'], (order: number) => boolean> = {
   '=': (order) => order === 0,
   '!=': (order) => order !== 0,
   '<': (order) => order < 0,
@@ -139,8 +141,8 @@
   '>=': (order) => order >= 0
 }
 
-function holds (row: TableRow, { column, comparison, value }: Condition): boolean {
-  return COMPARERS[comparison](compareValues(row[column]!, value))
+function matchesCondition (row: TableRow, { column, comparison, value }: Condition): boolean {
+  return COMPARATORS[comparison](compareValues(row[column]!, value))
 }
 
 function compareValues (left: TableRow[string], right: TableRow[string]): number {
--- a/test/mysql-proxy/operators/console.test.ts
+++ b/test/mysql-proxy/operators/console.test.ts
@@ -14,10 +14,10 @@
     ({ server: `127.0.0.1:${deployment.proxies[proxy]!.httpPort}`, key })
   const query = async (text: string, proxy = 0): Promise<ShownRow[]> =>
     (await callConsole<{ rows: ShownRow[] }>(access(proxy), '/query', { query: text })).rows
-  const inForceEverywhere = async (revision: number): Promise<void> => await until(() =>
+  const waitForRevision = async (revision: number): Promise<void> => await until(() =>
     [...deployment.proxies, ...deployment.keepers].every(({ kernel }) => kernel.use('configuration').revision >= revision))
 
-  it('shows every table, chosen and ordered', async () => {
+  it('shows every table, and filters and orders rows', async () => {
     await readRequests(await deployment.connect(0), 'any')
     for (const table of ['groups', 'services', 'sessions', 'connections', 'proxies', 'configuration', 'history']) {
       expect((await query(`show ${table}`)).length > 0).toEqual(true)
@@ -27,13 +27,13 @@
     await expect(query('show upstreams where rol = 1')).toBeRejectedWith("did you mean 'role'?")
   })
 
-  it('turns away whoever has no key', async () => {
+  it('rejects an unknown key', async () => {
     await expect(callConsole(access(0, 'wrong'), '/query', { query: 'show groups' })).toBeRejectedWith('the right to read')
   })
 
-  it('sets a value, brings it into force everywhere, and puts it on record', async () => {
+  it('sets a value, applies it on every process, and records the change in the history', async () => {
     const [changed] = await query(`set ${GROUP}.limits.queue = 123 because "test"`)
-    await inForceEverywhere(Number(changed!['revision']))
+    await waitForRevision(Number(changed!['revision']))
     deployment.proxies.forEach(({ kernel }) =>
       expect(kernel.use('configuration').group(GROUP)!.limits.queue).toEqual(123))
     const [record] = await query('show history order by revision desc limit 1', 1)
@@ -42,36 +42,36 @@
     await expect(query(`set ${GROUP}.limits.queue = lots`)).toBeRejectedWith('expected number')
   })
 
-  it('accepts one of two conflicting changes and tells the other which one won', async () => {
+  it('accepts one of two conflicting changes, and names the accepted one in the error of the other', async () => {
     const store = deployment.proxies[0]!.kernel.use('configuration').store
     const group = deployment.proxies[0]!.kernel.use('configuration').group(GROUP)!
     const { version } = deployment.proxies[0]!.kernel.use('configuration').versions()[0]!
     const change = (changeId: string) => ({ changeId, operator: changeId, at: new Date().toISOString(), reason: '' })
     const results = await Promise.allSettled(['one', 'other'].map(async (changeId) =>
       await store.accept([{ name: GROUP, group, baseVersion: version }], change(changeId))))
-    const lost = results.find(({ status }) => status === 'rejected') as PromiseRejectedResult
+    const rejected = results.find(({ status }) => status === 'rejected') as PromiseRejectedResult
     expect(results.filter(({ status }) => status === 'fulfilled').length).toEqual(1)
-    expect(String(lost.reason)).toMatchRegex(/change (one|other) made version \d+ and won/)
+    expect(String(rejected.reason)).toMatchRegex(/change (one|other) made version \d+ and won/)
   })
 
-  it('settles a change whose answer was lost', async () => {
+  it('records a change once when the response to its write is lost', async () => {
     deployment.standins.platform.faults.loseWriteAnswers = 1
     const [changed] = await query(`set ${GROUP}.limits.queue = 77`)
     const history = await query('show history')
     expect(history.filter(({ change }) => change === changed!['change']).length).toEqual(1)
   })
 
-  it('rolls back to an old version by a new one', async () => {
+  it('rolls back to an earlier version by creating a new one', async () => {
     const [first] = await query(`set ${GROUP}.limits.queue = 50`)
     const [second] = await query(`set ${GROUP}.limits.queue = 60`)
     const body = { group: GROUP, version: Number(first!['version']), changeId: randomUUID(), reason: 'back' }
     const result = await callConsole<{ version: number, revision: number }>(access(), '/rollback', body)
     expect(result.version).toEqual(Number(second!['version']) + 1)
-    await inForceEverywhere(result.revision)
+    await waitForRevision(result.revision)
     expect(deployment.proxies[2]!.kernel.use('configuration').group(GROUP)!.limits.queue).toEqual(50)
   })
 
-  it('plans and applies declarations, and applies the same ones only once', async () => {
+  it('plans and applies declarations, and changes nothing when they are applied again', async () => {
     const declarations = structuredClone(deployment.declarations)
     declarations.groups[GROUP]!.limits.queue = 99
     const { rows } = await callConsole<{ rows: ShownRow[] }>(access(), '/plan', { declarations })
@@ -82,14 +82,14 @@
     expect((await apply()).groups).toEqual([])
   })
 
-  it('explains which upstream a request would get', async () => {
+  it('explains which upstream a request would be sent to', async () => {
     const [read] = await query(`explain ${GROUP} app grid`)
     const [write] = await query(`explain ${GROUP} app purchase`)
     expect(read!['role']).toEqual('replica')
     expect([write!['role'], write!['upstream']]).toEqual(['primary', deployment.primaryOf(GROUP).upstream.name])
   })
 
-  it('hands a primary that is drained over to a replica, which then gets the work', async () => {
+  it('promotes a replica when the primary is drained, and sends requests to it', async () => {
     const old = deployment.primaryOf(GROUP).upstream.name
     await purchase(await deployment.connect(0), 'drained', 'd1')
     await query(`drain upstream ${old}`)
@@ -100,7 +100,7 @@
     await query(`restore upstream ${old}`)
   })
 
-  it('promotes the upstream that an operator names', async () => {
+  it('promotes the upstream named in the command', async () => {
     await deployment.waitForPrimaries()
     const target = [...deployment.standins.groups.get(GROUP)!.keys()]
       .find((name) => name !== deployment.primaryOf(GROUP).upstream.name)!
@@ -108,7 +108,7 @@
     expect(deployment.primaryOf(GROUP).upstream.name).toEqual(target)
   })
 
-  it('drains a proxy: it is not ready, and no longer a home', async () => {
+  it('drains a proxy, which is then not ready and not a home of any group', async () => {
     await query('drain proxy proxy-3')
     await until(() => !deployment.proxies[0]!.kernel.use('routing').homesOf(GROUP).some(({ host }) => host === 'proxy-3'))
     expect((await fetch(`http://127.0.0.1:${deployment.proxies[2]!.httpPort}/ready`)).status).toEqual(503)
@@ -117,12 +117,12 @@
     expect((await fetch(`http://127.0.0.1:${deployment.proxies[2]!.httpPort}/ready`)).status).toEqual(200)
   })
 
-  it('shows metrics as Prometheus text', async () => {
+  it('serves metrics in the Prometheus text format', async () => {
     const text = await (await fetch(`http://127.0.0.1:${deployment.proxies[0]!.httpPort}/metrics`)).text()
     expect(text).toMatchRegex(/worksward_requests\{label="done"\} \d+/)
   })
 
-  it('refuses a change clearly while the platform is down, and serves callers', async () => {
+  it('rejects a change while the platform is unavailable, and continues to serve callers', async () => {
     deployment.standins.platform.faults.outage = true
     await expect(query(`set ${GROUP}.limits.queue = 5`)).toBeRejectedWith('the platform did not answer')
     const connection = await deployment.connect(0)
--- a/test/mysql-proxy/operators/duties.test.ts
+++ b/test/mysql-proxy/operators/duties.test.ts
@@ -4,7 +4,7 @@
 import { EMBEDDED_OPERATOR_KEY } from '../../../src/emulation/embedded/sizes.ts'
 import { GROUP, purchase, readRequests, startTestDeployment, until, type TestDeployment } from '../../fixtures/deployment.ts'
 
-describe('handing over one duty at a time', () => {
+describe('duties of a group', () => {
   let deployment: TestDeployment
   before(async () => { deployment = await startTestDeployment() })
   after(async () => await deployment.close())
@@ -18,7 +18,7 @@
       kernel.use('configuration').revision >= rows[0]!.revision))
   }
 
-  /** What a team's own script does: fence all that answer, promote one, let the others follow. */
+  /** Simulates an external failover script: fences all running servers, promotes one and points the others at it. */
   const promoteByScript = (name: string): void => {
     const servers = [...deployment.standins.groups.get(GROUP)!.values()].filter(({ upstream }) => !upstream.crashed)
     const term = Math.max(...servers.map(({ upstream }) => upstream.status().fencedTerm)) + 1
@@ -27,7 +27,7 @@
     servers.forEach(({ upstream }) => upstream.follow(name, term))
   }
 
-  it('observes while a script promotes, and callers follow; then promotes itself; then hands the duty back', async () => {
+  it('leaves promotion to an external script in mode observe, and promotes in mode act', async () => {
     const connection = await deployment.connect(0)
     await setDuty('promotion', 'observe')
     const first = deployment.primaryOf(GROUP)
@@ -61,7 +61,7 @@
     expect(await readRequests(connection, 'duty')).toEqual(['by-script', 'by-worksward'])
   })
 
-  it('sends every read to the primary while the duty of reads is off', async () => {
+  it('sends every read to the primary while the duty `reads` is off', async () => {
     const connection = await deployment.connect(0)
     await setDuty('reads', 'off')
     const before = deployment.proxies.map(({ kernel }) => kernel.use('routing').counts().readsOnReplicas)
@@ -70,7 +70,7 @@
     await setDuty('reads', 'act')
   })
 
-  it('gives no new work to a replica that says it leaves, unless the duty of draining is off', async () => {
+  it('sends no new statements to a replica that reports it is leaving, unless the duty `draining` is off', async () => {
     const connection = await deployment.connect(0)
     const home = deployment.proxies[0]!.kernel.use('routing').homes().get(GROUP)!
     const leaving = deployment.upstream(GROUP, home.view.replicaNames[0]!).upstream
@@ -79,12 +79,12 @@
       await readRequests(connection, 'nobody')
       return !home.view.takesWork(leaving.name)
     })
-    const opened = (): number => deployment.upstream(GROUP, leaving.name).upstream.statementsServed
-    const before = opened()
-    for (let turn = 0; turn < 20; turn++) {
+    const statementsServed = (): number => deployment.upstream(GROUP, leaving.name).upstream.statementsServed
+    const before = statementsServed()
+    for (let attempt = 0; attempt < 20; attempt++) {
       await readRequests(connection, 'nobody')
     }
-    expect(opened()).toEqual(before)
+    expect(statementsServed()).toEqual(before)
     await setDuty('draining', 'off')
     expect(home.view.takesWork(leaving.name)).toEqual(true)
     leaving.leaving = false
