--- a/src/mysql-proxy/language/lexer.ts
+++ b/src/mysql-proxy/language/lexer.ts
@@ -1,17 +1,17 @@
-/** The words of the operators' language. */
+/** Tokens of the operators' command language. */
 import { createToken, Lexer, type TokenType } from 'chevrotain'
 
-/** A name, such as `member-a`; keywords are names too where a name is wanted. */
+/** An identifier, such as `member-a`. Most keywords are also accepted as names. */
 export const Name = createToken({ name: 'name', pattern: /[A-Za-z][A-Za-z0-9_-]*/ })
 
-/** A keyword; one that is a name too may stand where a name is wanted. */
+/** Creates a case-insensitive keyword; with `isName`, it is also accepted where the grammar expects a name. */
 function keyword (word: string, isName = true): TokenType {
   return createToken({
     name: `keyword ${word}`, pattern: new RegExp(word, 'i'), longer_alt: Name, categories: isName ? [Name] : []
   })
 }
 
-/** Keywords by word. */
+/** Keyword tokens. */
 export const Keyword = {
   show: keyword('show'),
   set: keyword('set'),
@@ -35,20 +35,22 @@
   false: keyword('false', false)
 }
 
-/** A text in quotes. */
-export const Text = createToken({ name: 'text', pattern: /'[^']*'|"[^"]*"/ })
-/** A number. */
+/** A string in single or double quotes; there are no escape sequences. */
+export const StringLiteral = createToken({ name: 'text', pattern: /'[^']*'|"[^"]*"/ })
+/** A decimal number; does not match the start of a longer word. */
 export const NumberLiteral = createToken({ name: 'number', pattern: /-?\d+(?:\.\d+)?(?![A-Za-z0-9_.-])/ })
-/** A comparison. */
+/** A comparison operator other than `=`. */
 export const Comparison = createToken({ name: 'comparison', pattern: /!=|<=|>=|<|>/ })
-/** An equals sign. */
+/** An equals sign, for assignments and comparisons. */
 export const Equals = createToken({ name: '=', pattern: /=/ })
-/** A dot between the parts of a path. */
+/** Separator of path segments. */
 export const Dot = createToken({ name: '.', pattern: /\./ })
-const Space = createToken({ name: 'space', pattern: /\s+/, group: Lexer.SKIPPED })
+const Whitespace = createToken({ name: 'space', pattern: /\s+/, group: Lexer.SKIPPED })
 
-/** All tokens, in the order in which they are tried. */
-export const TOKENS = [Space, Text, NumberLiteral, Comparison, Equals, Dot, ...Object.values(Keyword), Name]
+/** All tokens, by descending precedence. */
+export const TOKENS = [
+  Whitespace, StringLiteral, NumberLiteral, Comparison, Equals, Dot, ...Object.values(Keyword), Name
+]
 
 /** Splits a command into tokens. */
 export const commandLexer = new Lexer(TOKENS)
--- a/src/mysql-proxy/language/parser.ts
+++ b/src/mysql-proxy/language/parser.ts
@@ -1,10 +1,10 @@
-/** The grammar of the operators' language, and which words its errors and its completion suggest. */
+/** Grammar and parser of the operators' command language, and the words suggested by errors and completion. */
 import { EmbeddedActionsParser, type IToken } from 'chevrotain'
-import { Comparison, Dot, Equals, Keyword, Name, NumberLiteral, Text, TOKENS, commandLexer } from './lexer.ts'
-import { mistakeAt } from './mistake.ts'
+import { Comparison, Dot, Equals, Keyword, Name, NumberLiteral, StringLiteral, TOKENS, commandLexer } from './lexer.ts'
+import { createCommandError } from './command-error.ts'
 import { TABLE_NAMES, type Command, type Condition, type ShowCommand, type TableName } from './types.ts'
 
-/** Words a command can begin with. */
+/** First words of the commands. */
 export const COMMAND_WORDS = ['show', 'set', 'unset', 'drain', 'restore', 'promote', 'explain', 'watch'] as const
 
 class CommandParser extends EmbeddedActionsParser {
@@ -110,12 +110,12 @@
 
   private readonly reason = this.RULE('reason', (): string | undefined => this.OPTION(() => {
     this.CONSUME(Keyword.because)
-    return stripQuotes(this.CONSUME(Text).image)
+    return stripQuotes(this.CONSUME(StringLiteral).image)
   }))
 
   private readonly value = this.RULE('value', (): string | number | boolean => this.OR<string | number | boolean>([
     { ALT: () => Number(this.CONSUME(NumberLiteral).image) },
-    { ALT: () => stripQuotes(this.CONSUME(Text).image) },
+    { ALT: () => stripQuotes(this.CONSUME(StringLiteral).image) },
     { ALT: () => { this.CONSUME(Keyword.true); return true } },
     { ALT: () => { this.CONSUME(Keyword.false); return false } },
     { ALT: () => this.CONSUME(Name).image }
@@ -125,35 +125,35 @@
 const parser = new CommandParser()
 
 /**
- * Reads a command.
+ * Parses a command.
  *
- * @param text - what the operator wrote
+ * @param text - the text of the command
  * @returns the command
- * @throws WorkswardError `InvalidCommand`, which points at the mistake
+ * @throws WorkswardError `InvalidCommand`, whose message marks the position of the error
  */
 export function parseCommand (text: string): Command {
   const { tokens, errors } = commandLexer.tokenize(text)
-  const [unreadable] = errors
-  if (unreadable !== undefined) {
-    throw mistakeAt(text, unreadable.offset, `'${text[unreadable.offset]}' cannot stand here`)
+  const [lexingError] = errors
+  if (lexingError !== undefined) {
+    throw createCommandError(text, lexingError.offset, `'${text[lexingError.offset]}' cannot stand here`)
   }
   parser.input = tokens
   const command = parser.command()
-  const [wrong] = parser.errors
-  if (wrong !== undefined) {
-    throw describeMistake(text, wrong.token, tokens)
+  const [syntaxError] = parser.errors
+  if (syntaxError !== undefined) {
+    throw describeSyntaxError(text, syntaxError.token, tokens)
   }
   checkTable(text, command, tokens)
   return command
 }
 
-function describeMistake (text: string, token: IToken, tokens: IToken[]): Error {
+function describeSyntaxError (text: string, token: IToken, tokens: IToken[]): Error {
   const atEnd = Number.isNaN(token.startOffset) || token.image === ''
   const offset = atEnd ? text.length : token.startOffset
   const reason = atEnd ? 'the command ends too early' : `'${token.image}' cannot stand here`
   const index = tokens.indexOf(token)
   const expected = index <= 0 && !atEnd ? COMMAND_WORDS : WORDS_AFTER[tokens.at(atEnd ? -1 : index - 1)?.image ?? ''] ?? []
-  return mistakeAt(text, offset, reason, atEnd ? '' : token.image, expected)
+  return createCommandError(text, offset, reason, atEnd ? '' : token.image, expected)
 }
 
 function checkTable (text: string, command: Command, tokens: IToken[]): void {
@@ -162,10 +162,10 @@
     return
   }
   const token = tokens[command.type === 'watch' ? 2 : 1]!
-  throw mistakeAt(text, token.startOffset, `there is no table '${token.image}'`, token.image, TABLE_NAMES)
+  throw createCommandError(text, token.startOffset, `there is no table '${token.image}'`, token.image, TABLE_NAMES)
 }
 
-/** Words that can follow a word, for suggestions and completion. */
+/** Valid words after a word, for suggestions and completion; the empty word stands for the start of a command. */
 export const WORDS_AFTER: Record<string, readonly string[]> = {
   '': COMMAND_WORDS,
   show: TABLE_NAMES,
--- a/src/mysql-proxy/language/types.ts
+++ b/src/mysql-proxy/language/types.ts
@@ -1,24 +1,23 @@
-/** The commands of the operators' language. */
+/** Parsed forms of the operators' commands. */
 
-/** Tables that can be shown. */
+/** Tables that `show` can query. */
 export const TABLE_NAMES = [
   'groups', 'upstreams', 'services', 'sessions', 'connections', 'proxies', 'configuration', 'history'
 ] as const
 
-/** One of {@link TABLE_NAMES}. */
 export type TableName = typeof TABLE_NAMES[number]
 
-/** Comparisons of a condition. */
+/** Comparison operators of conditions. */
 export const COMPARISONS = ['=', '!=', '<', '>', '<=', '>='] as const
 
-/** A condition on a column. */
+/** Compares a column with a constant. */
 export interface Condition {
   column: string
   comparison: typeof COMPARISONS[number]
   value: string | number | boolean
 }
 
-/** Shows rows of a table. */
+/** Shows rows of a table, filtered, ordered and limited. */
 export interface ShowCommand {
   type: 'show'
   table: TableName
@@ -27,30 +26,30 @@
   limit?: number
 }
 
-/** Changes a declared value. */
+/** Changes one value of a group's declarations. */
 export interface SetCommand {
   type: 'set'
-  /** Group, then the path below it. */
+  /** Name of the group, followed by the keys that lead to the value. */
   path: string[]
   value: string | number | boolean
   reason?: string
 }
 
-/** Restores the default of a declared value. */
+/** Resets one value of a group's declarations to its default. */
 export interface UnsetCommand {
   type: 'unset'
   path: string[]
   reason?: string
 }
 
-/** Takes something out of work, or back into it. */
+/** Stops new work on an upstream or a proxy, or allows it again. */
 export interface DrainCommand {
   type: 'drain' | 'restore'
   what: 'upstream' | 'proxy'
   name: string
 }
 
-/** Makes another upstream the primary; the keeper chooses when none is named. */
+/** Promotes an upstream to primary; the keeper chooses one when none is named. */
 export interface PromoteCommand {
   type: 'promote'
   group: string
@@ -65,12 +64,11 @@
   kind?: string
 }
 
-/** Shows rows repeatedly, as they change; the client repeats the query. */
+/** Shows rows continuously; the client repeats the query, and the server answers it once. */
 interface WatchCommand {
   type: 'watch'
   show: ShowCommand
 }
 
-/** Any command. */
 export type Command =
   | ShowCommand | SetCommand | UnsetCommand | DrainCommand | PromoteCommand | ExplainCommand | WatchCommand
--- a/src/mysql-proxy/operators/change.ts
+++ b/src/mysql-proxy/operators/change.ts
@@ -3,7 +3,7 @@
 import { WorkswardError } from '../../core/errors/index.ts'
 import type { GroupChange } from '../configuration/configuration-store.ts'
 import type { VersionedGroup } from '../configuration/types.ts'
-import { findNearest } from '../language/mistake.ts'
+import { findNearest } from '../language/command-error.ts'
 
 /** A value that differs between the applied and the new declarations. */
 interface Difference {
--- a/test/mysql-proxy/language/parser.test.ts
+++ b/test/mysql-proxy/language/parser.test.ts
@@ -4,7 +4,7 @@
 import { parseCommand } from '../../../src/mysql-proxy/language/parser.ts'
 
 describe('parseCommand', () => {
-  it('reads a show command with conditions, order and limit', () => {
+  it('parses a show command with conditions, order and limit', () => {
     expect(parseCommand("show upstreams where role = 'replica' and age > 100 order by age desc limit 3")).toEqual({
       type: 'show',
       table: 'upstreams',
@@ -17,7 +17,7 @@
     })
   })
 
-  it('reads changes with a reason', () => {
+  it('parses set and unset, with and without a reason', () => {
     expect(parseCommand('set member-a.limits.queue = 300 because "grid rush"')).toEqual({
       type: 'set', path: ['member-a', 'limits', 'queue'], value: 300, reason: 'grid rush'
     })
@@ -26,7 +26,7 @@
     })
   })
 
-  it('reads the commands that act', () => {
+  it('parses drain, restore, promote and explain', () => {
     expect(parseCommand('drain upstream member-a-1')).toEqual({ type: 'drain', what: 'upstream', name: 'member-a-1' })
     expect(parseCommand('RESTORE proxy entry-1')).toEqual({ type: 'restore', what: 'proxy', name: 'entry-1' })
     expect(parseCommand('promote member-a to member-a-2'))
@@ -35,7 +35,7 @@
       .toEqual({ type: 'explain', group: 'member-a', service: 'app', kind: 'grid' })
   })
 
-  it('points at the spot and suggests the nearest word', () => {
+  it('marks the position of an error and suggests the closest word', () => {
     expect(() => parseCommand('shwo groups')).toThrow("did you mean 'show'?")
     expect(() => parseCommand('show upstraems')).toThrow("did you mean 'upstreams'?")
     expect(() => parseCommand('show upstraems')).toThrow('\n  show upstraems\n       ^')
@@ -46,7 +46,7 @@
 })
 
 describe('completeCommand', () => {
-  it('offers the words that can follow', () => {
+  it('completes with the words that are valid at the cursor', () => {
     expect(completeCommand('show up')).toEqual([['upstreams '], 'up'])
     expect(completeCommand('dr')).toEqual([['drain '], 'dr'])
   })
