--- a/src/mysql-proxy/start-keeper.ts
+++ b/src/mysql-proxy/start-keeper.ts
@@ -1,4 +1,4 @@
-/** The process `worksward-keeper`. */
+/** Assembles the plug-ins of the process `worksward-keeper`. */
 import './configuration/index.ts'
 import './failover/index.ts'
 import './membership/index.ts'
@@ -12,8 +12,8 @@
 /**
  * Starts a keeper.
  *
- * @param settings - its settings
- * @param options - logger and dialer
+ * @param settings - settings of the keeper
+ * @param options - logger and dialer of the process
  * @returns the running kernel
  */
 export async function startKeeper (
--- a/src/mysql-proxy/start-proxy.ts
+++ b/src/mysql-proxy/start-proxy.ts
@@ -1,4 +1,4 @@
-/** The process `worksward-proxy`. */
+/** Assembles the plug-ins of the process `worksward-proxy`. */
 import './callers/index.ts'
 import './configuration/index.ts'
 import './membership/index.ts'
@@ -14,8 +14,8 @@
 /**
  * Starts a proxy.
  *
- * @param settings - its settings
- * @param options - logger and dialer
+ * @param settings - settings of the proxy
+ * @param options - logger and dialer of the process
  * @returns the running kernel
  */
 export async function startProxy (
--- a/src/mysql-proxy/storage/call-platform.ts
+++ b/src/mysql-proxy/storage/call-platform.ts
@@ -1,13 +1,13 @@
-/** Calls a service of the platform; every failure becomes the one error that callers of `storage/` handle. */
+/** Converts every failure of a platform service to `PlatformUnavailable`, the only error that `storage/` throws. */
 import { describeThrown, WorkswardError } from '../../core/errors/index.ts'
 
 /**
- * Calls a service.
+ * Calls a platform service.
  *
  * @param operation - name of the operation, for the error
  * @param send - sends the request
- * @returns what the service answered
- * @throws WorkswardError `PlatformUnavailable`; what was sent may have been done
+ * @returns the response
+ * @throws WorkswardError `PlatformUnavailable`; the operation may have been executed nevertheless
  */
 export async function callPlatform<Result> (operation: string, send: () => Promise<Result>): Promise<Result> {
   try {
--- a/src/mysql-proxy/storage/index.ts
+++ b/src/mysql-proxy/storage/index.ts
@@ -1,4 +1,4 @@
-/** Plug-in `platform`: the table service and the object store. */
+/** Plug-in `platform`: clients of the table service and the object store. */
 import { Agent } from 'node:http'
 import { DynamoDBClient } from '@aws-sdk/client-dynamodb'
 import { S3Client } from '@aws-sdk/client-s3'
@@ -10,7 +10,7 @@
 import { createPlatformTable } from './table-client.ts'
 import type { PlatformObjects, PlatformTable } from './types.ts'
 
-/** The client libraries print a note about later versions of Node.js; the supported one is in package.json. */
+// Suppresses the AWS SDK's warning about its next minimum version of Node.js; package.json sets the supported versions.
 process.env['AWS_SDK_JS_NODE_VERSION_SUPPORT_WARNING_DISABLED'] ??= 'true'
 
 /** Service of the plug-in. */
@@ -23,33 +23,35 @@
   interface Services { platform: Platform }
 }
 
-/** A connected platform. */
+/** Clients of the platform's services. */
 export interface PlatformConnection extends Platform {
   close: () => void
 }
 
 /**
- * Connects to the platform; nothing is sent before the first call.
+ * Creates the clients of the platform's services; no connection is opened before the first call.
  *
- * @param settings - where it is
+ * @param settings - endpoints, credentials and timeout
  * @param dialer - opens the connections
- * @returns table and objects
+ * @returns the clients
  */
 export function connectPlatform (settings: MemberSettings['platform'], dialer: Dialer): PlatformConnection {
-  const common = {
+  const clientOptions = {
     region: settings.region,
     credentials: { accessKeyId: settings.accessKey, secretAccessKey: settings.secretKey },
     maxAttempts: 1
   }
-  const handler = (): NodeHttpHandler => new NodeHttpHandler({
+  const createRequestHandler = (): NodeHttpHandler => new NodeHttpHandler({
     httpAgent: createAgent(dialer),
     connectionTimeout: settings.timeoutMs,
     requestTimeout: settings.timeoutMs,
     throwOnRequestTimeout: true
   })
-  const tables = new DynamoDBClient({ ...common, endpoint: settings.tableEndpoint, requestHandler: handler() })
+  const tables = new DynamoDBClient({
+    ...clientOptions, endpoint: settings.tableEndpoint, requestHandler: createRequestHandler()
+  })
   const objects = new S3Client({
-    ...common, endpoint: settings.objectEndpoint, forcePathStyle: true, requestHandler: handler()
+    ...clientOptions, endpoint: settings.objectEndpoint, forcePathStyle: true, requestHandler: createRequestHandler()
   })
   return {
     table: createPlatformTable(tables, settings.table),
@@ -61,10 +63,10 @@
   }
 }
 
-/** Greatest number of connections to one service. */
+/** Maximum number of connections per service. */
 const MAXIMUM_SOCKETS = 4
 
-/** Opens connections through the dialer of the process, as all others. */
+/** Creates an HTTP agent that opens its connections through the dialer of the process. */
 function createAgent (dialer: Dialer): Agent {
   const agent = new Agent({ keepAlive: true, maxSockets: MAXIMUM_SOCKETS })
   agent.createConnection = (options) => dialer({
--- a/src/mysql-proxy/storage/object-client.ts
+++ b/src/mysql-proxy/storage/object-client.ts
@@ -1,14 +1,14 @@
-/** The object store through the S3 client. */
+/** Accesses the object store through the S3 client. */
 import { GetObjectCommand, ListObjectsV2Command, PutObjectCommand, type S3Client } from '@aws-sdk/client-s3'
 import { callPlatform } from './call-platform.ts'
 import type { PlatformObjects } from './types.ts'
 
 /**
- * Creates the store.
+ * Creates the client of the object store.
  *
- * @param client - client of the service
+ * @param client - the S3 client
  * @param bucket - name of the bucket
- * @returns the store
+ * @returns the object store
  */
 export function createPlatformObjects (client: S3Client, bucket: string): PlatformObjects {
   return {
--- a/src/mysql-proxy/storage/table-client.ts
+++ b/src/mysql-proxy/storage/table-client.ts
@@ -1,48 +1,50 @@
-/** The table service through the DynamoDB client. */
+/** Accesses the table service through the DynamoDB client. */
 import {
   DynamoDBClient, GetItemCommand, QueryCommand, TransactWriteItemsCommand, type AttributeValue
 } from '@aws-sdk/client-dynamodb'
 import { callPlatform } from './call-platform.ts'
 import type { ConditionalRow, PlatformTable, TableRow } from './types.ts'
 
-/** Greatest number of rows in one page of a listing. */
+/** Maximum number of rows per query; longer lists are read in pages. */
 const PAGE_ROWS = 500
 
 /**
- * Creates the table.
+ * Creates the client of a table.
  *
- * @param client - client of the service
+ * @param client - the DynamoDB client
  * @param table - name of the table
  * @returns the table
  */
 export function createPlatformTable (client: DynamoDBClient, table: string): PlatformTable {
   return {
     read: async (partition, sort) => {
-      const command = new GetItemCommand({ TableName: table, Key: keyOf(partition, sort), ConsistentRead: true })
+      const command = new GetItemCommand({ TableName: table, Key: buildKey(partition, sort), ConsistentRead: true })
       const { Item } = await callPlatform('GetItem', async () => await client.send(command))
-      return Item === undefined ? undefined : toRow(Item)
+      return Item === undefined ? undefined : parseRow(Item)
     },
-    list: async (partition, above) => {
+    list: async (partition, afterSort) => {
       const rows: TableRow[] = []
-      let after = above
+      let lastSort = afterSort
       for (;;) {
         const command = new QueryCommand({
           TableName: table,
           KeyConditionExpression: 'pk = :pk AND sk > :sk',
-          ExpressionAttributeValues: { ':pk': { S: partition }, ':sk': { S: after } },
+          ExpressionAttributeValues: { ':pk': { S: partition }, ':sk': { S: lastSort } },
           ConsistentRead: true,
           Limit: PAGE_ROWS
         })
         const { Items = [] } = await callPlatform('Query', async () => await client.send(command))
-        rows.push(...Items.map(toRow))
+        rows.push(...Items.map(parseRow))
         if (Items.length < PAGE_ROWS) {
           return rows
         }
-        after = rows.at(-1)!.sort
+        lastSort = rows.at(-1)!.sort
       }
     },
     write: async (rows) => {
-      const command = new TransactWriteItemsCommand({ TransactItems: rows.map((row) => ({ Put: toPut(table, row) })) })
+      const command = new TransactWriteItemsCommand({
+        TransactItems: rows.map((row) => ({ Put: buildPut(table, row) }))
+      })
       return await callPlatform('TransactWriteItems', async () => {
         try {
           await client.send(command)
@@ -58,11 +60,11 @@
   }
 }
 
-function keyOf (partition: string, sort: string): Record<string, AttributeValue> {
+function buildKey (partition: string, sort: string): Record<string, AttributeValue> {
   return { pk: { S: partition }, sk: { S: sort } }
 }
 
-function toRow (item: Record<string, AttributeValue>): TableRow {
+function parseRow (item: Record<string, AttributeValue>): TableRow {
   return {
     partition: item['pk']?.S ?? '',
     sort: item['sk']?.S ?? '',
@@ -71,14 +73,14 @@
   }
 }
 
-function toPut (table: string, row: ConditionalRow): {
+function buildPut (table: string, row: ConditionalRow): {
   TableName: string
   Item: Record<string, AttributeValue>
   ConditionExpression: string
   ExpressionAttributeNames?: Record<string, string>
   ExpressionAttributeValues?: Record<string, AttributeValue>
 } {
-  const item = { ...keyOf(row.partition, row.sort), version: { N: String(row.version) }, body: { S: row.body } }
+  const item = { ...buildKey(row.partition, row.sort), version: { N: String(row.version) }, body: { S: row.body } }
   if (row.expectedVersion === undefined) {
     return { TableName: table, Item: item, ConditionExpression: 'attribute_not_exists(pk)' }
   }
--- a/src/mysql-proxy/storage/types.ts
+++ b/src/mysql-proxy/storage/types.ts
@@ -1,52 +1,54 @@
-/** What worksward stores in the platform: forms of rows, and the operations of the services that it uses. */
+/** Interfaces of the platform's services, and the schemas and keys of stored rows. */
 import * as z from 'zod'
 
 /** A row of the table. */
 export interface TableRow {
   partition: string
   sort: string
-  /** Raised by one with every change of the row. */
+  /** Increases by one with each change to the row. */
   version: number
   /** JSON text. */
   body: string
 }
 
-/** A row to write, and the version it must have had before; undefined when it must not exist. */
+/** A row to write if the stored row has the expected version; undefined requires that no row exists. */
 export interface ConditionalRow extends TableRow {
   expectedVersion?: number
 }
 
-/** The table service, as far as worksward needs it. */
+/** The operations of the table service that worksward uses. */
 export interface PlatformTable {
-  /** Reads a row, with all writes before it. */
+  /** Reads a row with strong consistency. */
   read: (partition: string, sort: string) => Promise<TableRow | undefined>
-  /** Lists the rows of a partition whose sort key is above a value, in order. */
-  list: (partition: string, above: string) => Promise<TableRow[]>
+  /** Lists the rows of a partition whose sort key is greater than a value, in ascending order. */
+  list: (partition: string, afterSort: string) => Promise<TableRow[]>
   /**
-   * Writes all rows, or none.
+   * Writes all rows in one transaction.
    *
-   * @param rows - the rows
-   * @returns false when a condition did not hold
-   * @throws WorkswardError `PlatformUnavailable`; the rows may have been written all the same
+   * @param rows - the rows, with their expected versions
+   * @returns false when the transaction was cancelled, for example because a version did not match
+   * @throws WorkswardError `PlatformUnavailable`; the rows may have been written nevertheless
    */
   write: (rows: ConditionalRow[]) => Promise<boolean>
 }
 
-/** The object store, as far as worksward needs it. */
+/** The operations of the object store that worksward uses. */
 export interface PlatformObjects {
   put: (key: string, text: string) => Promise<void>
+  /** Reads an object; undefined when it does not exist. */
   get: (key: string) => Promise<string | undefined>
+  /** Lists the keys that start with a prefix. */
   list: (prefix: string) => Promise<string[]>
 }
 
-/** Partitions of the table. */
+/** Partition keys of the table. */
 export const PARTITIONS = { hosts: 'hosts', groups: 'groups', changes: 'changes', head: 'head' } as const
-/** Sort key of the row that counts configuration changes. */
+/** Sort key of the row that holds the configuration revision. */
 export const HEAD_SORT = 'configuration'
-/** Below every sort key. */
+/** Sorts before every sort key; lists a whole partition. */
 export const LOWEST_SORT = ' '
 
-/** A row of the platform's list of hosts. */
+/** An entry in the list of hosts. */
 export const hostRowSchema = z.object({
   host: z.string(),
   role: z.enum(['proxy', 'keeper']),
@@ -56,5 +58,5 @@
   state: z.enum(['live', 'leaving'])
 })
 
-/** A row of the platform's list of hosts. */
+/** An entry in the list of hosts. */
 export type HostRow = z.infer<typeof hostRowSchema>
