--- a/src/cli/worksward/index.ts
+++ b/src/cli/worksward/index.ts
@@ -5,7 +5,7 @@
 import { declarationsSchema, entrySettingsSchema, loadFile, readText } from '../../core/config/index.ts'
 import { WorkswardError } from '../../core/errors/index.ts'
 import { parseLogLine } from '../../explain/parse-log.ts'
-import { formatStory, tellStory } from '../../explain/story.ts'
+import { formatTrace, traceRequest } from '../../explain/request-trace.ts'
 import { parseCommand } from '../../mysql-proxy/language/parser.ts'
 import { doubleSha1 } from '../../mysql/password.ts'
 import { hashOperatorKey } from '../../mysql-proxy/operators/authentication.ts'
@@ -88,11 +88,11 @@
   }
   const entries = files.flatMap((file) =>
     readText(file).split('\n').flatMap((line) => parseLogLine(line) ?? []))
-  const story = tellStory(entries, String(request))
-  if (story.lines.length === 0) {
+  const trace = traceRequest(entries, String(request))
+  if (trace.lines.length === 0) {
     throw new WorkswardError('InvalidCommand', { reason: `no line of ${files.join(', ')} carries the id ${request}` })
   }
-  process.stdout.write(formatStory(story))
+  process.stdout.write(formatTrace(trace))
 }
 
 async function planFile (file: string, options: AccessOptions): Promise<void> {
--- a/src/explain/clock-offsets.ts
+++ b/src/explain/clock-offsets.ts
@@ -1,39 +1,35 @@
 /**
- * Decides how far the clocks of hosts differ, from pairs of lines of which one caused the other.
- *
- * - Inputs: log lines of all hosts, with times in milliseconds of the epoch.
- * - Rule: a host logs that it stops working at a primary (`leadership.closing`) after the promoter has begun
- *   (`failover.started`) and before the promoter logs the acknowledgement (`leadership.host-closed`). A host whose line
- *   is outside of that interval is shifted to its middle.
- * - Why: clocks of hosts are not synchronised well enough to order lines of different hosts.
+ * Estimates clock differences between hosts, since unsynchronised clocks make log lines appear out of order. A host's
+ * `leadership.closing` must fall between the promoting host's `failover.started` and `leadership.host-closed`; if it
+ * doesn't, the host's clock is shifted so that it falls in the middle.
  */
 import type { LogEntry } from './parse-log.ts'
 
 /**
- * Estimates what must be added to each host's times so that causes come before effects.
+ * Estimates the correction of each host's clock.
  *
- * @param entries - lines of all hosts
- * @returns milliseconds to add, by host; hosts without evidence are missing
+ * @param entries - log entries of all hosts
+ * @returns milliseconds to add, by host; hosts that took part in no failover are missing
  */
 export function estimateOffsets (entries: LogEntry[]): Map<string, number> {
   const offsets = new Map<string, number>()
   const starts = entries.filter(({ event }) => event === 'failover.started')
-  const noted = entries.filter(({ event, fields }) =>
+  const acknowledgements = entries.filter(({ event, fields }) =>
     event === 'leadership.host-closed' && fields['because'] === 'acknowledged')
   const closings = entries.filter(({ event }) => event === 'leadership.closing')
   for (const closing of closings) {
     const { group, epoch } = closing.fields
     const sameEpoch = (entry: LogEntry): boolean => entry.fields['group'] === group && entry.fields['epoch'] === epoch
-    const note = noted.find((entry) => sameEpoch(entry) && entry.fields['peer'] === closing.host)
-    const start = starts.find((entry) => sameEpoch(entry) && entry.host === note?.host)
-    if (note === undefined || start === undefined || offsets.has(closing.host)) {
+    const acknowledgement = acknowledgements.find((entry) => sameEpoch(entry) && entry.fields['peer'] === closing.host)
+    const start = starts.find((entry) => sameEpoch(entry) && entry.host === acknowledgement?.host)
+    if (acknowledgement === undefined || start === undefined || offsets.has(closing.host)) {
       continue
     }
-    const own = offsets.get(note.host) ?? 0
-    const earliest = start.time + own
-    const latest = note.time + own
-    const within = closing.time >= earliest && closing.time <= latest
-    offsets.set(closing.host, within ? 0 : Math.round((earliest + latest) / 2 - closing.time))
+    const ownOffset = offsets.get(acknowledgement.host) ?? 0
+    const earliest = start.time + ownOffset
+    const latest = acknowledgement.time + ownOffset
+    const isWithin = closing.time >= earliest && closing.time <= latest
+    offsets.set(closing.host, isWithin ? 0 : Math.round((earliest + latest) / 2 - closing.time))
   }
   return offsets
 }
--- a/src/explain/parse-log.ts
+++ b/src/explain/parse-log.ts
@@ -1,8 +1,8 @@
-/** Reads log lines back: `key=value` pairs, values with blanks in quotes. */
+/** Parses log lines of `key=value` pairs, in which values that contain spaces are quoted. */
 
-/** A line of a log. */
+/** A parsed log line. */
 export interface LogEntry {
-  /** Time of day of the host that wrote it, in milliseconds of the epoch. */
+  /** Time by the clock of the host that wrote the line, in milliseconds since the epoch. */
   time: number
   host: string
   event: string
@@ -13,10 +13,9 @@
 const PAIR = /([A-Za-z-]+)=("(?:[^"\\]|\\.)*"|\S*)/g
 
 /**
- * Reads one line. What stands before the first pair, such as the prefix of a collector, is skipped.
+ * Parses one line. Text before the first pair, such as a log collector's prefix, is skipped.
  *
- * @param line - the line
- * @returns the entry; undefined when it is not a line of worksward's log
+ * @returns the entry, or undefined if the line has no event or no valid time
  */
 export function parseLogLine (line: string): LogEntry | undefined {
   const fields: Record<string, string> = {}
@@ -35,7 +34,7 @@
   try {
     return JSON.parse(text) as string
   } catch {
-    // The line was cut in the middle of a quoted value: what is left of it is still useful to a reader.
+    // The line was truncated inside a quoted value: keep the rest.
     return text.slice(1)
   }
 }
--- a/src/explain/story.ts
+++ b/src/explain/request-trace.ts
@@ -1,45 +1,44 @@
-/** The story of one request: its own lines, and the events of its host and its group around it. */
+/** Collects a request's log lines, with the events of its host and its database group around the same time. */
 import { estimateOffsets } from './clock-offsets.ts'
 import type { LogEntry } from './parse-log.ts'
 
-/** How long before a request began its story looks back, in milliseconds. */
-const LOOK_BACK_MS = 12_000
-/** How long after its end the story goes on, in milliseconds: a silent upstream is noticed within it, chosen. */
-const LOOK_ON_MS = 1500
-/** Age of an input beyond which it is reported, in milliseconds: two reads of the registry have failed. */
-const OLD_INPUT_MS = 4500
+/** Time before the request began from which events are included, in milliseconds. */
+const CONTEXT_BEFORE_MS = 12_000
+/** Time after the request ended until which events are included, in milliseconds. */
+const CONTEXT_AFTER_MS = 1500
+/** Age above which the input of a decision is reported as stale, in milliseconds. */
+const STALE_INPUT_MS = 4500
 
-/** A line of the story. */
-interface StoryLine {
-  /** Time relative to the request's end, with the host's clock corrected, in milliseconds. */
+/** A log line of a trace. */
+interface TraceLine {
+  /** Time relative to the end of the request, after clock correction, in milliseconds. */
   atMs: number
   entry: LogEntry
-  /** Whether it is a line of the request itself. */
+  /** Whether the line carries the id of the request. */
   own: boolean
 }
 
-/** The story of a request. */
-interface Story {
-  lines: StoryLine[]
-  /** Causes that the lines show, in the order of the lines; old inputs come last. */
+/** A request's log lines and the causes found in them. */
+interface RequestTrace {
+  lines: TraceLine[]
+  /** Descriptions of likely causes, in the order of the lines; stale inputs come last. */
   findings: string[]
-  /** What was added to the times of other hosts, in milliseconds. */
+  /** Clock correction by host, in milliseconds. */
   offsets: Map<string, number>
 }
 
-/** Events of other hosts that concern a group on all hosts. */
+/** Events that are included from all hosts if they concern the request's group. */
 const GROUP_EVENTS = /^(failover\.|promotion-lease\.|leadership\.|upstream\.unreachable)/
-/** Events of a host that concern all its groups. */
+/** Events that are included from the request's host, whatever their group. */
 const HOST_EVENTS = /^(store\.|feed\.|leadership\.lease|process\.|desired-state\.|registry\.(registered|host-retired))/
 
 /**
- * Collects the story of a request.
+ * Collects the log lines that concern a request.
  *
- * @param entries - lines of all processes
- * @param requestId - id of the request
- * @returns the story; no lines when nothing is known of the request
+ * @param entries - log entries of all processes
+ * @returns the trace; it has no lines if no entry carries the request's id
  */
-export function tellStory (entries: LogEntry[], requestId: string): Story {
+export function traceRequest (entries: LogEntry[], requestId: string): RequestTrace {
   const own = entries.filter(({ fields }) => fields['id'] === requestId)
   const last = own.at(-1)
   if (last === undefined) {
@@ -48,25 +47,25 @@
   const offsets = estimateOffsets(entries)
   const timeOf = ({ time, host }: LogEntry): number => time + (offsets.get(host) ?? 0)
   const end = timeOf(last)
-  const from = end - Number(last.fields['ms'] ?? 0) - LOOK_BACK_MS
+  const start = end - Number(last.fields['ms'] ?? 0) - CONTEXT_BEFORE_MS
   const group = own.find(({ fields }) => fields['group'] !== undefined)?.fields['group']
-  const belongs = (entry: LogEntry): boolean => {
+  const isRelated = (entry: LogEntry): boolean => {
     const sameGroup = group !== undefined && entry.fields['group'] === group && entry.fields['id'] === undefined
     const sameHost = entry.host === last.host
     return (sameGroup && (sameHost || GROUP_EVENTS.test(entry.event))) || (sameHost && HOST_EVENTS.test(entry.event))
   }
-  const around = entries.filter((entry) =>
-    !own.includes(entry) && timeOf(entry) >= from && timeOf(entry) <= end + LOOK_ON_MS && belongs(entry))
-  const lines = [...own, ...around]
+  const surrounding = entries.filter((entry) =>
+    !own.includes(entry) && timeOf(entry) >= start && timeOf(entry) <= end + CONTEXT_AFTER_MS && isRelated(entry))
+  const lines = [...own, ...surrounding]
     .map((entry) => ({ atMs: Math.round(timeOf(entry) - end), entry, own: own.includes(entry) }))
     .sort((left, right) => left.atMs - right.atMs)
   return { lines, findings: findCauses(lines, last), offsets }
 }
 
-/** Describes the cause that a line shows; undefined when it shows none. */
-type Finder = (line: StoryLine, last: LogEntry) => string | undefined
+/** Describes the cause that a line of this event indicates, or returns undefined. */
+type CauseDescription = (line: TraceLine, last: LogEntry) => string | undefined
 
-const FINDERS: Record<string, Finder> = {
+const CAUSE_DESCRIPTIONS: Record<string, CauseDescription> = {
   'failover.started': ({ atMs, entry: { host, fields } }) =>
     `${atMs} ms: ${host} began to replace primary ${fields['primary']} of the group: ${fields['reason']}`,
   'failover.no-successor': ({ atMs }) => `${atMs} ms: no upstream could be promoted`,
@@ -80,15 +79,15 @@
   'store.lost': ({ atMs, entry: { host } }, last) =>
     host === last.host ? `${atMs} ms: the store did not answer this host` : undefined,
   'leadership.lease-expired': ({ atMs, entry: { host, fields } }, last) => host === last.host
-    ? `${atMs} ms: this host had no lease on primaries: its confirmation was ${fields['confirmedAgeMs']} ms old`
+    ? `${atMs} ms: this host's lease on primaries had expired: last confirmed ${fields['confirmedAgeMs']} ms earlier`
     : undefined,
   'leadership.aborted': ({ atMs, entry: { host, fields } }, last) => host === last.host
-    ? `${atMs} ms: this host broke off what was in progress at ${fields['upstream']}: ${fields['reason']}`
+    ? `${atMs} ms: this host aborted the work in progress at ${fields['upstream']}: ${fields['reason']}`
     : undefined,
   'read.repeated': ({ atMs, entry: { fields } }) =>
-    `${atMs} ms: upstream ${fields['upstream']} did not serve it (${fields['reason']}, floor ${fields['floor']})`,
+    `${atMs} ms: upstream ${fields['upstream']} did not serve the read (${fields['reason']}, floor ${fields['floor']})`,
   'write.repeated': ({ atMs, entry: { fields } }) =>
-    `${atMs} ms: upstream ${fields['upstream']} did not run it (${fields['reason']})`,
+    `${atMs} ms: upstream ${fields['upstream']} did not run the write (${fields['reason']})`,
   'read.upstream-unavailable': ({ atMs, entry: { fields } }) =>
     `${atMs} ms: no connection to ${fields['upstream']}: ${fields['reason']}`,
   'request.failed': ({ atMs, own, entry: { fields } }) => own
@@ -96,21 +95,20 @@
     : undefined
 }
 
-function findCauses (lines: StoryLine[], last: LogEntry): string[] {
-  const found = lines.flatMap((line) => FINDERS[line.entry.event]?.(line, last) ?? [])
-  const old = lines.filter(({ entry }) => Number(entry.fields['confirmedAgeMs']) > OLD_INPUT_MS && entry.host === last.host)
-    .filter(({ atMs, entry }) => atMs > -OLD_INPUT_MS && Number.isFinite(Number(entry.fields['confirmedAgeMs'])))
-    .map(({ atMs, entry }) => `${atMs} ms: an old input: confirmed ${entry.fields['confirmedAgeMs']} ms before`)
-  return [...new Set([...found, ...old])]
+function findCauses (lines: TraceLine[], last: LogEntry): string[] {
+  const causes = lines.flatMap((line) => CAUSE_DESCRIPTIONS[line.entry.event]?.(line, last) ?? [])
+  const staleInputs = lines.filter(({ entry }) => Number(entry.fields['confirmedAgeMs']) > STALE_INPUT_MS && entry.host === last.host)
+    .filter(({ atMs, entry }) => atMs > -STALE_INPUT_MS && Number.isFinite(Number(entry.fields['confirmedAgeMs'])))
+    .map(({ atMs, entry }) => `${atMs} ms: stale input: last confirmed ${entry.fields['confirmedAgeMs']} ms earlier`)
+  return [...new Set([...causes, ...staleInputs])]
 }
 
 /**
- * Formats a story for a reader.
+ * Formats a trace as text.
  *
- * @param story - the story
- * @returns its lines, then the findings
+ * @returns the log lines, then the findings and the corrected clocks; `>` marks lines of the request itself
  */
-export function formatStory ({ lines, findings, offsets }: Story): string {
+export function formatTrace ({ lines, findings, offsets }: RequestTrace): string {
   const shown = lines.map(({ atMs, entry: { host, event, fields }, own }) => {
     const pairs = Object.entries(fields).map(([key, value]) => `${key}=${/\s/.test(value) ? JSON.stringify(value) : value}`)
     return `${own ? '>' : ' '} ${String(atMs).padStart(7)} ms ${host} ${event} ${pairs.join(' ')}`
