--- a/src/cli/demo/index.ts
+++ b/src/cli/demo/index.ts
@@ -1,4 +1,4 @@
-/** `npm start`: runs an embedded deployment, drives a short workload, fails the primary over once, and reports. */
+/** `npm start`: runs a short workload on an embedded deployment, crashes the primary once, and prints a summary. */
 import { runExperiment } from '../../emulation/load/experiment.ts'
 import { failoverGapMs, summarize } from '../../emulation/load/summary.ts'
 import { FULL_MIX } from '../../emulation/load/workload.ts'
--- a/src/cli/entry/index.ts
+++ b/src/cli/entry/index.ts
@@ -1,4 +1,4 @@
-/** `worksward-entry`: takes callers on an entry host of the users' platform. */
+/** `worksward-entry`: serves callers on an entry host of the platform. */
 import { entrySettingsSchema } from '../../core/config/entry-settings.ts'
 import { loadFile } from '../../core/config/load-file.ts'
 import { reloadSettings } from '../../core/config/reload-settings.ts'
@@ -7,9 +7,9 @@
 import { createLogger } from '../../core/logger/index.ts'
 import { createDialer } from '../../core/wire/dialer.ts'
 import { startEntry } from '../../entry/start-entry.ts'
-import { endAfter, runProgram, serveUntilStopped } from '../run-command.ts'
+import { exitAfterCrash, runProgram, serveUntilStopped } from '../run-command.ts'
 
-/** Names the settings file when the command line does not. */
+/** Environment variable with the path of the settings file, used if the command line has none. */
 const SETTINGS_VARIABLE = 'WORKSWARD_BOOT'
 const STANDARD_OUTPUT = 1
 
@@ -26,7 +26,7 @@
       logger.log('info', 'process.started', {
         role: 'entry', callers: settings.listen.callers, peers: settings.listen.peers, http: settings.listen.metrics
       })
-      process.on('uncaughtException', (error) => endAfter(error, logger))
+      process.on('uncaughtException', (error) => exitAfterCrash(error, logger))
       process.on('SIGHUP', () => reloadSettings({
         file: settingsFile, settings, logger, setLogLevel: writer.setLevel
       }))
--- a/src/cli/keeper/index.ts
+++ b/src/cli/keeper/index.ts
@@ -1,4 +1,4 @@
-/** `worksward-keeper`: watches upstreams, fences and promotes. */
+/** `worksward-keeper`: monitors upstreams, fences failed primaries and promotes replicas. */
 import { keeperSettingsSchema, loadFile } from '../../core/config/index.ts'
 import { createLogger } from '../../core/logger/index.ts'
 import { createDialer } from '../../core/wire/dialer.ts'
--- a/src/cli/load/index.ts
+++ b/src/cli/load/index.ts
@@ -1,4 +1,4 @@
-/** `worksward-load`: drives load, brings about faults, records histories and checks them. */
+/** `worksward-load`: generates load, injects faults, and checks the recorded histories. */
 import { appendFileSync, writeFileSync } from 'node:fs'
 import { WorkswardError } from '../../core/errors/index.ts'
 import { parseEndpoint } from '../../core/wire/dialer.ts'
@@ -11,7 +11,7 @@
 
 const MIXES = { full: FULL_MIX, grid: GRID_MIX }
 
-/** Options of `run`, as the command line gives them. */
+/** Command line options of `run`. */
 interface RunOptions {
   proxies: string
   user: string
@@ -47,20 +47,20 @@
 async function runExperiments (
   options: { seeds: number, first: number, faults: number, seconds: number }
 ): Promise<void> {
-  let broken = 0
+  let violationCount = 0
   for (let seed = options.first; seed < options.first + options.seeds; seed++) {
     const durationMs = options.seconds * 1000
     const faults = scheduleFaults(createRandom(seed), durationMs, options.faults)
     const { violations, history } = await runExperiment({ seed, faults, workload: { durationMs } })
-    broken += violations.length
+    violationCount += violations.length
     const { operations, done, notRun, mayHaveRun } = summarize(history.events)
     const names = faults.map(({ name }) => name).join('+')
     process.stdout.write(`seed=${seed} faults=${names} operations=${operations} done=${done} not_run=${notRun} ` +
       `may_have_run=${mayHaveRun} violations=${violations.length}\n`)
     violations.forEach(({ check, description }) => process.stdout.write(`  ${check}: ${description}\n`))
   }
-  process.stdout.write(`violations=${broken}\n`)
-  process.exitCode = broken === 0 ? 0 : 1
+  process.stdout.write(`violations=${violationCount}\n`)
+  process.exitCode = violationCount === 0 ? 0 : 1
 }
 
 async function runLoad (options: RunOptions): Promise<void> {
--- a/src/cli/proxy/index.ts
+++ b/src/cli/proxy/index.ts
@@ -1,4 +1,4 @@
-/** `worksward-proxy`: takes callers and is home to some groups. */
+/** `worksward-proxy`: serves callers and is the home of some database groups. */
 import { loadFile, proxySettingsSchema } from '../../core/config/index.ts'
 import { createLogger } from '../../core/logger/index.ts'
 import { createDialer } from '../../core/wire/dialer.ts'
--- a/src/cli/run-command.ts
+++ b/src/cli/run-command.ts
@@ -1,24 +1,24 @@
-/** What all programs share: options, errors with hints, exit codes, signals. */
+/** Shared by all programs: command line parsing, error reports, exit codes and signal handling. */
 import { cac, type CAC } from 'cac'
 import { writeSync } from 'node:fs'
 import { WorkswardError, describeThrown } from '../core/errors/index.ts'
 import type { Kernel } from '../core/kernel/index.ts'
 import type { Logger } from '../core/logger/index.ts'
 
-/** Exit code for a wrong command line or file. */
+/** Exit code for an invalid command line or input file. */
 const EXIT_BAD_INPUT = 2
 const EXIT_FAILED = 1
-/** Time for the last line to be written, in milliseconds. */
-const FLUSH_MS = 50
+/** Delay before the exit in which the last log line is flushed, in milliseconds. */
+const LOG_FLUSH_MS = 50
 const VERSION = '0.1.0'
 const STANDARD_ERROR = 2
 
 /**
  * Runs a program.
  *
- * @param name - its name
- * @param define - adds commands to the command line
- * @param argv - the arguments, as the process got them
+ * @param name - name of the program
+ * @param define - adds the program's commands
+ * @param argv - arguments in the form of `process.argv`
  */
 export async function runProgram (name: string, define: (program: CAC) => void, argv = process.argv): Promise<void> {
   const program = cac(name)
@@ -31,7 +31,7 @@
       return
     }
     if (program.matchedCommand === undefined) {
-      throw new WorkswardError('InvalidCommand', { reason: describeUnknown(program) })
+      throw new WorkswardError('InvalidCommand', { reason: describeUnknownCommand(program) })
     }
     await program.runMatchedCommand()
   } catch (thrown) {
@@ -39,12 +39,7 @@
   }
 }
 
-/**
- * Prints an error with its hint and sets the exit code.
- *
- * @param name - name of the program
- * @param thrown - the error
- */
+/** Prints an error with its hint and sets the exit code. */
 function reportFailure (name: string, thrown: unknown): void {
   const known = thrown instanceof WorkswardError
   const title = known ? `${thrown.title}: ` : ''
@@ -56,11 +51,7 @@
 }
 
 /**
- * Keeps a process running until it gets the signal to stop: SIGTERM and SIGINT stop it as planned, SIGUSR2 dumps its
- * state.
- *
- * @param kernel - the running process
- * @param logger - for events
+ * Installs signal handlers: SIGTERM and SIGINT stop the process gracefully, SIGUSR2 prints its state.
  */
 export function serveUntilStopped (kernel: Kernel, logger: Logger): void {
   let stopping = false
@@ -84,17 +75,14 @@
 }
 
 /**
- * Ends a process that met an error nobody expected: its state cannot be relied on. The line is written first.
- *
- * @param error - the error
- * @param logger - for the line
+ * Logs an uncaught error and exits, since the state of the process may be inconsistent.
  */
-export function endAfter (error: Error, logger: Logger): void {
+export function exitAfterCrash (error: Error, logger: Logger): void {
   logger.log('error', 'process.crashed', { reason: error.message, stack: error.stack?.split('\n').slice(1, 4).join(' ') })
-  setTimeout(() => process.exit(EXIT_FAILED), FLUSH_MS)
+  setTimeout(() => process.exit(EXIT_FAILED), LOG_FLUSH_MS)
 }
 
-function describeUnknown (program: CAC): string {
+function describeUnknownCommand (program: CAC): string {
   const [given] = program.args
   const known = program.commands.map((command) => command.name).filter((name) => name !== '')
   return given === undefined
--- a/src/cli/standin/index.ts
+++ b/src/cli/standin/index.ts
@@ -1,4 +1,4 @@
-/** `worksward-standin`: upstreams, table service and object store for tests and trials. */
+/** `worksward-standin`: simulated upstreams, table service and object store for tests. */
 import { loadFile, standinSettingsSchema } from '../../core/config/index.ts'
 import { createLogger } from '../../core/logger/index.ts'
 import { dumpStandins, serveControl } from '../../emulation/standin/control-server.ts'
--- a/src/cli/worksward/format-table.ts
+++ b/src/cli/worksward/format-table.ts
@@ -1,4 +1,4 @@
-/** Shows rows as an aligned table. */
+/** Formats rows as an aligned table. */
 import type { ShownRow } from './console-client.ts'
 
 const GAP = '  '
@@ -6,8 +6,8 @@
 /**
  * Formats rows.
  *
- * @param rows - the rows, all with the same columns
- * @returns the table with a line for the column names, or a note that there are no rows
+ * @param rows - rows with the same columns
+ * @returns the table with a header line, or a note that there are no rows
  */
 export function formatTable (rows: ShownRow[]): string {
   const [first] = rows
--- a/src/cli/worksward/index.ts
+++ b/src/cli/worksward/index.ts
@@ -1,4 +1,4 @@
-/** `worksward`: the operator's command line. */
+/** `worksward`: command line for operators. */
 import { randomUUID } from 'node:crypto'
 import { setTimeout as sleep } from 'node:timers/promises'
 import type { Command } from 'cac'
@@ -15,10 +15,10 @@
 import { runPrompt } from './prompt.ts'
 
 const DEFAULT_SERVER = '127.0.0.1:7002'
-/** Pause between two looks of `watch` and `apply --wait`, in milliseconds. */
-const LOOK_AGAIN_MS = 250
+/** Polling interval of `watch` and `apply --wait`, in milliseconds. */
+const POLL_INTERVAL_MS = 250
 
-/** Options that every command which talks to a proxy has. */
+/** Options of all commands that call a proxy. */
 interface AccessOptions {
   server: string
   json?: boolean
@@ -43,17 +43,17 @@
   program.command('explain-log <...files>', 'Tell the story of one request from the logs of several processes')
     .option('--request <id>', 'Id of the request')
     .action(explainLog)
-  withAccess(program.command('plan <file>', 'Show what a declarations file would change')).action(planFile)
-  withAccess(program.command('apply <file>', 'Bring a declarations file into force'))
+  withAccessOptions(program.command('plan <file>', 'Show what a declarations file would change')).action(planFile)
+  withAccessOptions(program.command('apply <file>', 'Bring a declarations file into force'))
     .option('--wait', 'Wait until every live host has it in force')
     .option('--timeout <seconds>', 'How long to wait', { default: 30 })
     .option('--reason <text>', 'Why, for the record', { default: '' })
     .action(applyFile)
-  withAccess(program.command('rollback <group> <version>', 'Make an old version of a group the newest'))
+  withAccessOptions(program.command('rollback <group> <version>', 'Make an old version of a group the newest'))
     .option('--reason <text>', 'Why, for the record', { default: '' })
     .action(rollBack)
-  withAccess(program.command('query <command>', 'Run one command of the language')).action(query)
-  withAccess(program.command('prompt', 'Type commands, with history and completion'))
+  withAccessOptions(program.command('query <command>', 'Run one command of the language')).action(query)
+  withAccessOptions(program.command('prompt', 'Type commands, with history and completion'))
     .action(async (options: AccessOptions) => await runPrompt(async (text) => await runText(text, options)))
   program.command('dump <address>', 'Print the state of a process, by the ip:port of its HTTP endpoint')
     .action(async (address: string) => {
@@ -66,7 +66,7 @@
     .action((key: string) => { process.stdout.write(hashOperatorKey(String(key)) + '\n') })
 })
 
-function withAccess (command: Command): Command {
+function withAccessOptions (command: Command): Command {
   return command
     .option('--server <address>', 'ip:port of a proxy\'s HTTP endpoint; the key is in WORKSWARD_KEY', {
       default: process.env['WORKSWARD_SERVER'] ?? DEFAULT_SERVER
@@ -74,7 +74,7 @@
     .option('--json', 'Print JSON instead of a table')
 }
 
-function accessOf ({ server }: AccessOptions): ConsoleAccess {
+function consoleAccess ({ server }: AccessOptions): ConsoleAccess {
   return { server, key: process.env['WORKSWARD_KEY'] ?? '' }
 }
 
@@ -97,7 +97,7 @@
 
 async function planFile (file: string, options: AccessOptions): Promise<void> {
   const declarations = loadFile(file, declarationsSchema)
-  const { rows } = await callConsole<{ rows: ShownRow[] }>(accessOf(options), '/plan', { declarations })
+  const { rows } = await callConsole<{ rows: ShownRow[] }>(consoleAccess(options), '/plan', { declarations })
   process.stdout.write(rows.length === 0 ? 'nothing would change\n' : format(rows, options))
 }
 
@@ -105,7 +105,7 @@
   const declarations = loadFile(file, declarationsSchema)
   const body = { declarations, changeId: randomUUID(), reason: options.reason }
   const { revision, changeId, groups } = await callConsole<{ revision: number, changeId: string, groups: string[] }>(
-    accessOf(options), '/apply', body)
+    consoleAccess(options), '/apply', body)
   process.stdout.write(groups.length === 0
     ? `nothing to change; revision ${revision} is in force\n`
     : `accepted as revision ${revision}, change ${changeId}: ${groups.join(', ')}\n`)
@@ -115,10 +115,10 @@
 }
 
 async function waitUntilInForce (revision: number, options: ApplyOptions): Promise<void> {
-  const until = performance.now() + options.timeout * 1000
+  const deadline = performance.now() + options.timeout * 1000
   const reported = new Set<string>()
   for (;;) {
-    const { rows } = await callConsole<{ rows: ShownRow[] }>(accessOf(options), '/progress', { revision })
+    const { rows } = await callConsole<{ rows: ShownRow[] }>(consoleAccess(options), '/progress', { revision })
     for (const { host, inForce } of rows) {
       if (inForce === true && !reported.has(String(host))) {
         reported.add(String(host))
@@ -129,22 +129,22 @@
     if (missing.length === 0) {
       return
     }
-    if (performance.now() > until) {
+    if (performance.now() > deadline) {
       throw new WorkswardError('PeerUnavailable', { peer: missing.join(', '), reason: `not in force after ${options.timeout} s` })
     }
-    await sleep(LOOK_AGAIN_MS)
+    await sleep(POLL_INTERVAL_MS)
   }
 }
 
 async function rollBack (group: string, version: string, options: AccessOptions & { reason: string }): Promise<void> {
   const body = { group, version: Number(version), changeId: randomUUID(), reason: options.reason }
-  const result = await callConsole<{ revision: number, version: number }>(accessOf(options), '/rollback', body)
+  const result = await callConsole<{ revision: number, version: number }>(consoleAccess(options), '/rollback', body)
   process.stdout.write(`accepted as version ${result.version} of ${group}, revision ${result.revision}\n`)
 }
 
 async function runText (text: string, options: AccessOptions): Promise<string> {
   parseCommand(text)
-  const { rows } = await callConsole<{ rows: ShownRow[] }>(accessOf(options), '/query', { query: text })
+  const { rows } = await callConsole<{ rows: ShownRow[] }>(consoleAccess(options), '/query', { query: text })
   return format(rows, options)
 }
 
@@ -153,12 +153,12 @@
     process.stdout.write(await runText(text, options))
     return
   }
-  for (let before = ''; ;) {
-    const now = await runText(text, options)
-    if (now !== before) {
-      process.stdout.write(`${new Date().toISOString()}\n${now}`)
-      before = now
+  for (let previous = ''; ;) {
+    const current = await runText(text, options)
+    if (current !== previous) {
+      process.stdout.write(`${new Date().toISOString()}\n${current}`)
+      previous = current
     }
-    await sleep(LOOK_AGAIN_MS)
+    await sleep(POLL_INTERVAL_MS)
   }
 }
--- a/src/cli/worksward/prompt.ts
+++ b/src/cli/worksward/prompt.ts
@@ -1,4 +1,4 @@
-/** The interactive prompt, with history and completion. */
+/** Interactive prompt with history and completion. */
 import { createInterface } from 'node:readline/promises'
 import { WORDS_AFTER } from '../../mysql-proxy/language/parser.ts'
 import { WorkswardError, describeThrown } from '../../core/errors/index.ts'
@@ -6,9 +6,9 @@
 const HISTORY_LENGTH = 200
 
 /**
- * Runs commands that are typed until the input ends or `exit` is typed.
+ * Reads and runs commands until the input ends or `exit` is entered.
  *
- * @param run - runs a command and returns what to print
+ * @param run - runs a command and returns its output
  */
 export async function runPrompt (run: (command: string) => Promise<string>): Promise<void> {
   const terminal = createInterface({
@@ -34,14 +34,14 @@
 /**
  * Completes the last word of a line.
  *
- * @param line - what was typed so far
- * @returns the words that can stand there, and the part that they replace
+ * @param line - the input so far
+ * @returns the possible completions and the word that they replace
  */
 export function completeCommand (line: string): [string[], string] {
   const words = line.trimStart().split(/\s+/)
-  const begun = words.at(-1) ?? ''
+  const prefix = words.at(-1) ?? ''
   const candidates = WORDS_AFTER[words.at(-2)?.toLowerCase() ?? ''] ?? []
-  return [candidates.filter((word) => word.startsWith(begun.toLowerCase())).map((word) => `${word} `), begun]
+  return [candidates.filter((word) => word.startsWith(prefix.toLowerCase())).map((word) => `${word} `), prefix]
 }
 
 function describeFailure (thrown: unknown): string {
--- a/test/cli/programs.test.ts
+++ b/test/cli/programs.test.ts
@@ -10,14 +10,16 @@
 
 const BIN = new URL('../../bin/', import.meta.url).pathname
 
-/** How a program ended. */
-interface Ended {
+/** Exit code and output of a program. */
+interface ProgramResult {
   code: number | null
   output: string
   errors: string
 }
 
-async function runProgram (program: string, args: string[], environment: Record<string, string> = {}): Promise<Ended> {
+async function runProgram (
+  program: string, args: string[], environment: Record<string, string> = {}
+): Promise<ProgramResult> {
   const child = spawn(process.execPath, [join(BIN, `${program}.js`), ...args], {
     env: { ...process.env, ...environment }
   })
@@ -29,12 +31,12 @@
   return { code, output, errors }
 }
 
-describe('the programs', () => {
+describe('programs', () => {
   const folder = mkdtempSync(join(tmpdir(), 'worksward-cli-'))
   after(() => rmSync(folder, { recursive: true }))
 
   for (const program of ['worksward', 'worksward-proxy', 'worksward-keeper', 'worksward-standin', 'worksward-load']) {
-    it(`${program} shows its usage`, async () => {
+    it(`${program} prints its usage`, async () => {
       const { code, output } = await runProgram(program, ['--help'])
       expect(code).toEqual(0)
       expect(output).toMatchRegex(/Usage:/)
@@ -42,7 +44,7 @@
   }
 
   for (const program of ['worksward-proxy', 'worksward-keeper', 'worksward-standin']) {
-    it(`${program} names path, reason and hint of a bad settings file, and ends with code 2`, async () => {
+    it(`${program} reports path, reason and hint for an invalid settings file and exits with code 2`, async () => {
       const file = join(folder, `${program}.yaml`)
       writeFileSync(file, 'host: { name: a }\nlisten: { http: never }\nunknown: 1\n')
       const { code, errors } = await runProgram(program, [file])
@@ -52,7 +54,7 @@
     })
   }
 
-  it('worksward suggests what an unknown command may have meant', async () => {
+  it('worksward names an unknown command', async () => {
     const { code, errors } = await runProgram('worksward', ['aply'])
     expect(code).toEqual(2)
     expect(errors).toMatchRegex(/unknown command 'aply'/)
@@ -69,11 +71,11 @@
     rmSync(folder, { recursive: true })
   })
 
-  const run = async (args: string[], key = EMBEDDED_OPERATOR_KEY): Promise<Ended> => await runProgram('worksward', args, {
+  const run = async (args: string[], key = EMBEDDED_OPERATOR_KEY): Promise<ProgramResult> => await runProgram('worksward', args, {
     WORKSWARD_SERVER: `127.0.0.1:${deployment.proxies[0]!.httpPort}`, WORKSWARD_KEY: key
   })
 
-  it('plans and applies a file, and waits host by host', async () => {
+  it('plans and applies a file and reports each host that has it in force', async () => {
     deployment.declarations.groups[GROUP]!.limits.queue = 88
     writeFileSync(file, stringify(deployment.declarations))
     expect((await run(['plan', file])).output).toMatchRegex(/member-a\.limits\.queue\s+200\s+88/)
@@ -85,7 +87,7 @@
     expect((await run(['plan', file])).output).toEqual('nothing would change\n')
   })
 
-  it('says who is missing when a host cannot be asked in time, though others still see it live', async () => {
+  it('names a host that cannot be reached before the timeout, though other hosts still reach it', async () => {
     deployment.declarations.groups[GROUP]!.limits.queue = 89
     writeFileSync(file, stringify(deployment.declarations))
     deployment.network.cut('proxy-1', 'proxy-3')
@@ -95,7 +97,7 @@
     expect(errors).toMatchRegex(/proxy-3/)
   })
 
-  it('runs commands of the language, as a table or as JSON', async () => {
+  it('runs queries with output as a table or as JSON', async () => {
     const table = await run(['query', 'show upstreams order by upstream'])
     expect(table.output.split('\n').length).toEqual(5)
     const json = await run(['query', 'show upstreams order by upstream', '--json'])
@@ -105,7 +107,7 @@
     expect([wrong.code, /did you mean 'upstreams'/.test(wrong.errors)]).toEqual([2, true])
   })
 
-  it('turns away a change by an operator who may only read', async () => {
+  it('rejects a change by an operator without the right', async () => {
     const { code, errors } = await run(['query', `set ${GROUP}.limits.queue = 1`], 'not-a-key')
     expect(code).toEqual(1)
     expect(errors).toMatchRegex(/does not carry the right/)
