--- a/src/mysql/answer-writer.ts
+++ b/src/mysql/answer-writer.ts
@@ -9,10 +9,10 @@
   COLUMN_TYPE.tiny, COLUMN_TYPE.short, COLUMN_TYPE.long, COLUMN_TYPE.longLong, COLUMN_TYPE.int24, COLUMN_TYPE.year
 ])
 const FLOAT_TYPES = new Set<number>([COLUMN_TYPE.float, COLUMN_TYPE.double])
-/** Column types above this one are length-coded in binary rows too. */
-const FIRST_LENGTH_CODED_TYPE = 245
+/** Column types from this code on are length-encoded in binary rows, too. */
+const FIRST_LENGTH_ENCODED_TYPE = 245
 
-/** A packet whose body is already encoded, in the shape mysql2 writes. */
+/** A packet with an encoded body, in the form that mysql2 writes. */
 class EncodedPacket {
   readonly buffer: Buffer
 
@@ -31,11 +31,9 @@
 }
 
 /**
- * Writes one answer.
+ * Writes the answer to a statement.
  *
- * @param connection - the client's connection
- * @param answer - the answer
- * @param binary - whether the client executed a prepared statement
+ * @param binary - whether to use the binary row format, as for prepared statements
  */
 export function writeAnswer (connection: ServerConnection, answer: Answer, binary: boolean): void {
   if (answer.type === 'done') {
@@ -48,9 +46,7 @@
 /**
  * Writes the answer to a prepare command.
  *
- * @param connection - the client's connection
- * @param statementId - number of the statement
- * @param parameters - number of its placeholders
+ * @param parameters - number of the statement's placeholders
  */
 export function writePrepared (connection: ServerConnection, statementId: number, parameters: number): void {
   const header = Buffer.alloc(12)
@@ -67,12 +63,7 @@
   connection.writeEof()
 }
 
-/**
- * Describes a text column.
- *
- * @param name - its name
- * @returns the column
- */
+/** Creates the definition of a text column. */
 export function textColumn (name: string): Column {
   return { name, type: COLUMN_TYPE.varString, flags: 0, characterSet: 45, columnLength: 65535, decimals: 0 }
 }
@@ -87,7 +78,7 @@
   connection.writeEof()
 }
 
-/** Integers travel as 64 bits and dates as text, so that one encoder serves every column type. */
+/** Declares integers as 64-bit and dates as text, so that binary rows need only three cell encodings. */
 function toBinaryColumn (column: Column): Column {
   if (INTEGER_TYPES.has(column.type)) {
     return { ...column, type: COLUMN_TYPE.longLong }
@@ -95,11 +86,11 @@
   if (FLOAT_TYPES.has(column.type)) {
     return { ...column, type: COLUMN_TYPE.double }
   }
-  return column.type >= FIRST_LENGTH_CODED_TYPE ? column : { ...column, type: COLUMN_TYPE.varString }
+  return column.type >= FIRST_LENGTH_ENCODED_TYPE ? column : { ...column, type: COLUMN_TYPE.varString }
 }
 
 function encodeColumn (column: Column): Buffer {
-  const name = encodeText(Buffer.from(column.name))
+  const name = encodeLengthPrefixed(Buffer.from(column.name))
   const fixed = Buffer.alloc(13)
   fixed.writeUInt8(0x0c, 0)
   fixed.writeUInt16LE(column.characterSet, 1)
@@ -108,11 +99,11 @@
   fixed.writeUInt16LE(column.flags, 8)
   fixed.writeUInt8(column.decimals, 10)
   const empty = Buffer.from([0])
-  return Buffer.concat([encodeText(Buffer.from('def')), empty, empty, empty, name, name, fixed])
+  return Buffer.concat([encodeLengthPrefixed(Buffer.from('def')), empty, empty, empty, name, name, fixed])
 }
 
 function encodeTextRow (row: Cell[]): Buffer[] {
-  return row.map((cell) => cell === null ? NULL_CELL : encodeText(cell))
+  return row.map((cell) => cell === null ? NULL_CELL : encodeLengthPrefixed(cell))
 }
 
 function encodeBinaryRow (row: Cell[], columns: Column[]): Buffer[] {
@@ -139,10 +130,10 @@
     float.writeDoubleLE(Number(cell.toString()))
     return float
   }
-  return encodeText(cell)
+  return encodeLengthPrefixed(cell)
 }
 
-function encodeText (text: Buffer): Buffer {
+function encodeLengthPrefixed (text: Buffer): Buffer {
   return Buffer.concat([encodeLength(text.length), text])
 }
 
--- a/src/mysql/authentication.ts
+++ b/src/mysql/authentication.ts
@@ -1,4 +1,4 @@
-/** The handshake with a client: greeting, check of the password, and admission. */
+/** Server side of the MySQL handshake: greeting, password check and admission control. */
 import { createRequire } from 'node:module'
 import type { Refusal, ServeOptions } from './client-handler.ts'
 import { MYSQL_ERROR, SERVER_CAPABILITIES, TEXT_CHARACTER_SET } from './consts.ts'
@@ -20,14 +20,12 @@
   connection: ServerConnection
   connectionId: number
   options: ServeOptions
-  /** Called when the client has sent its name and password, before they are checked. */
+  /** Called with the client's credentials before they are checked. */
   onRequest: (request: AuthenticationRequest) => void
 }
 
 /**
- * Greets a client and answers its attempt to authenticate. A client that takes too long is disconnected.
- *
- * @param greeting - the client's connection, and how clients are served
+ * Performs the handshake. A client that doesn't complete it in time is disconnected.
  */
 export function greetClient ({ connection, connectionId, options, onRequest }: GreetOptions): void {
   const timer = setTimeout(() => connection.stream.destroy(), HANDSHAKE_TIMEOUT_MS)
@@ -42,7 +40,7 @@
     authCallback: (request, done) => {
       clearTimeout(timer)
       onRequest(request)
-      void refuseOrAdmit(connection, request, options).then((refusal) => {
+      void checkClient(connection, request, options).then((refusal) => {
         if (!connection.stream.destroyed) {
           done(null, refusal)
           connection.sequenceId = 0
@@ -52,7 +50,7 @@
   })
 }
 
-async function refuseOrAdmit (
+async function checkClient (
   connection: ServerConnection, request: AuthenticationRequest, options: ServeOptions
 ): Promise<Refusal | undefined> {
   return checkPassword(request, options) ??
--- a/src/mysql/client-handler.ts
+++ b/src/mysql/client-handler.ts
@@ -1,21 +1,21 @@
-/** What a server of the MySQL protocol offers to a client's handler, and asks of it. */
+/** Interfaces between the MySQL protocol server and the handlers that serve its clients. */
 import type { Answer, Statement } from './types.ts'
 
-/** A refusal sent to the client as a MySQL error. */
+/** A MySQL error to send to the client. */
 export interface Refusal {
   code: number
   message: string
 }
 
-/** Serves one client. */
+/** Executes the commands of one client. */
 export interface ClientHandler {
   /** Runs a statement; throws to answer with an error. */
   execute: (statement: Statement) => Promise<Answer>
-  /** Makes a database the connection's default. */
+  /** Sets the connection's default database. */
   selectDatabase: (database: string) => Promise<void>
-  /** Forgets all state of the connection. */
+  /** Resets the connection's session state. */
   reset: () => Promise<void>
-  /** Called once when the connection is gone. */
+  /** Called once when the connection has closed. */
   close: () => void
 }
 
@@ -24,34 +24,33 @@
   connectionId: number
   user: string
   database: string
-  /** Connection attributes the client sent. */
+  /** Connection attributes that the client sent. */
   attributes: Record<string, string>
-  /** Ends the connection once the command in progress is answered. */
+  /** Closes the connection after the command in progress has been answered. */
   end: () => void
-  /** Ends the connection at once. */
+  /** Closes the connection immediately. */
   destroy: () => void
 }
 
-/** How clients are served. */
+/** Options for serving clients. */
 export interface ServeOptions {
-  /** Bytes a single command may have; a larger one ends with an error. */
+  /** Maximum length of a command, in bytes; longer commands are answered with an error. */
   statementBytes: number
   /**
-   * Says how to check a user.
+   * Looks up a user's password hash.
    *
-   * @param user - the name
    * @returns SHA1(SHA1(password)), or undefined for an unknown user
    */
   findPasswordHash: (user: string, database: string) => Buffer | undefined
   /**
-   * Decides whether one more client may connect.
+   * Decides whether to accept another client.
    *
-   * @param onClose - registers a listener for the end of the connection
-   * @returns a refusal, or undefined to accept
+   * @param onClose - registers a listener for the connection's close
+   * @returns an error to refuse the client, or undefined to accept it
    */
   admit?: (onClose: (listener: () => void) => void) => Promise<Refusal | undefined>
   /** Creates the handler of an authenticated client. */
   serve: (client: ClientHello) => ClientHandler | Promise<ClientHandler>
-  /** Turns what a handler threw into a MySQL error. */
+  /** Converts an error thrown by a handler into a MySQL error. */
   toRefusal: (thrown: unknown) => Refusal
 }
--- a/src/mysql/client.ts
+++ b/src/mysql/client.ts
@@ -1,7 +1,4 @@
-/**
- * One connection to an upstream: turns the driver's answers and errors into answers and verdicts. Owns the connection;
- * relies on `mysql2`.
- */
+/** Client connection to an upstream. Converts results and errors of the `mysql2` driver to the project's types. */
 import type { Socket } from 'node:net'
 import mysql, { type Connection, type FieldPacket, type QueryError } from 'mysql2'
 import { RequestError, type Verdict } from '../core/errors/index.ts'
@@ -9,9 +6,9 @@
 import { ConnectionLostError, lossCauseOf } from './connection-lost.ts'
 import type { Answer, Cell, Column, Statement } from './types.ts'
 
-/** Where an upstream is and how to log in. */
+/** Address and credentials of an upstream. */
 export interface UpstreamAccess extends Endpoint {
-  /** Name of the upstream, for messages. */
+  /** Name of the upstream, for error messages. */
   name: string
   user: string
   password: string
@@ -33,27 +30,23 @@
   /**
    * Runs a statement.
    *
-   * @param statement - the statement
-   * @param timeoutMs - time after which the connection is given up, in milliseconds
-   * @param lostVerdict - the verdict to give when the connection breaks before the answer
-   * @returns the answer
+   * @param timeoutMs - time after which the connection is closed, in milliseconds
+   * @param lostVerdict - the verdict of the error if the connection is lost before the answer
    * @throws RequestError `StatementFailed`, `ConnectionLost` or `DeadlineExceeded`
    */
   run: (statement: Statement, timeoutMs: number, lostVerdict: Verdict) => Promise<Answer>
-  /** Ends the connection at once. */
+  /** Closes the connection immediately. */
   close: () => void
-  /** Called once when the connection is no longer usable. */
+  /** Registers a listener that is called once when the connection becomes unusable. */
   onClose: (listener: () => void) => void
 }
 
-/** Greatest number of statements that stay prepared on a connection. */
+/** Maximum number of prepared statements that are cached on a connection. */
 const MAXIMUM_PREPARED_STATEMENTS = 200
 
 /**
- * Connects to an upstream.
+ * Connects to an upstream and logs in.
  *
- * @param options - where, and how
- * @returns the connection
  * @throws RequestError `ConnectionLost` with verdict `not-run`
  */
 export async function openClient ({ access, dialer, connectTimeoutMs }: ClientOptions): Promise<Client> {
@@ -73,7 +66,7 @@
   return wrapConnection(connection, access.name)
 }
 
-/** Waits until the connection is logged in; destroys it when that fails or takes too long. */
+/** Waits for the login; destroys the connection if the login fails or times out. */
 async function logIn (connection: Connection, upstream: string, timeoutMs: number): Promise<void> {
   await new Promise<void>((resolve, reject) => {
     const timer = setTimeout(() => fail(new Error('no answer to the connection attempt')), timeoutMs)
@@ -98,7 +91,7 @@
 function wrapConnection (connection: Connection, upstream: string): Client {
   let usable = true
   const listeners: Array<() => void> = []
-  const giveUp = (): void => {
+  const disconnect = (): void => {
     if (!usable) {
       return
     }
@@ -107,8 +100,8 @@
     listeners.forEach((listener) => listener())
   }
   const stream = (connection as unknown as { stream: Socket }).stream
-  connection.on('error', giveUp)
-  stream.once('close', giveUp)
+  connection.on('error', disconnect)
+  stream.once('close', disconnect)
 
   const withTimeout = async <Result>(
     timeoutMs: number,
@@ -119,14 +112,14 @@
       reject(new ConnectionLostError('not-run', upstream, 'it was closed', 'other'))
       return
     }
-    const broken = 'it broke before the answer'
+    const reason = 'it broke before the answer'
     const onLost = (): void =>
-      finish(() => reject(new ConnectionLostError(lostVerdict, upstream, broken, 'broken')))
+      finish(() => reject(new ConnectionLostError(lostVerdict, upstream, reason, 'broken')))
     const timer = setTimeout(() => {
       finish(() => reject(new RequestError(lostVerdict, 'DeadlineExceeded', {
         deadlineMs: timeoutMs, stage: `waiting for upstream ${upstream}`
       })))
-      giveUp()
+      disconnect()
     }, timeoutMs)
     let finished = false
     const finish = (settle: () => void): void => {
@@ -152,7 +145,7 @@
     get usable () { return usable },
     run: async (statement, timeoutMs, lostVerdict) =>
       await withTimeout<Answer>(timeoutMs, lostVerdict, (done) => startStatement(connection, statement, done)),
-    close: giveUp,
+    close: disconnect,
     onClose: (listener) => { usable ? listeners.push(listener) : listener() }
   }
 }
--- a/src/mysql/command-queue.ts
+++ b/src/mysql/command-queue.ts
@@ -1,19 +1,18 @@
 /** Runs the commands of one client in the order of their arrival, one at a time. */
 
-/** The commands of a client that have not been answered. */
+/** Queue of a client's unanswered commands. */
 interface CommandQueue<Command> {
-  /** Adds a command; it runs once all before it are answered. */
+  /** Adds a command; it runs after all earlier ones have been answered. */
   add: (command: Command) => void
-  /** Finishes once all commands are answered; at once when there are none. */
+  /** Calls `finish` after all commands have been answered, or immediately if there are none. */
   finishWhenIdle: () => void
 }
 
 /**
  * Creates a queue.
  *
- * @param run - runs a command; must not fail
- * @param finish - called when the queue is idle and is to finish
- * @returns the queue
+ * @param run - runs a command; must not reject
+ * @param finish - called when the queue is idle after `finishWhenIdle`
  */
 export function createCommandQueue<Command> (
   run: (command: Command) => Promise<void>, finish: () => void
@@ -22,7 +21,7 @@
   let busy = false
   let finishing = false
 
-  const work = async (): Promise<void> => {
+  const drain = async (): Promise<void> => {
     busy = true
     for (let command = waiting.shift(); command !== undefined; command = waiting.shift()) {
       await run(command)
@@ -37,7 +36,7 @@
     add: (command) => {
       waiting.push(command)
       if (!busy) {
-        void work()
+        void drain()
       }
     },
     finishWhenIdle: () => {
--- a/src/mysql/commands.ts
+++ b/src/mysql/commands.ts
@@ -1,4 +1,4 @@
-/** The commands of the MySQL protocol that a server takes, one handler for each. */
+/** Handlers of the MySQL commands that the server supports. */
 import { writeAnswer, writePrepared } from './answer-writer.ts'
 import type { ClientHandler, Refusal } from './client-handler.ts'
 import { COMMAND, MYSQL_ERROR } from './consts.ts'
@@ -17,11 +17,11 @@
   connection: ServerConnection
   handler: ClientHandler
   statements: PreparedStatements
-  /** Greatest length of a command, in bytes. */
+  /** Maximum length of a command, in bytes. */
   statementBytes: number
 }
 
-/** Writes the answer to a command; undefined where the protocol has none. */
+/** Writes the answer to a command; undefined if the protocol defines no answer. */
 export type AnswerWriter = (() => void) | undefined
 
 const COMMAND_HANDLERS: Record<number, (state: ClientState, packet: ReceivedPacket) => Promise<AnswerWriter>> = {
@@ -67,10 +67,8 @@
 /**
  * Runs a command.
  *
- * @param state - the client's connection
- * @param command - the command
- * @returns writes the answer
- * @throws what the client's handler throws
+ * @returns a function that writes the answer
+ * @throws errors of the client's handler
  */
 export async function runCommand (state: ClientState, { code, packet }: ReceivedCommand): Promise<AnswerWriter> {
   const run = COMMAND_HANDLERS[code]
--- a/src/mysql/connection-lost.ts
+++ b/src/mysql/connection-lost.ts
@@ -1,16 +1,13 @@
-/**
- * The error of a connection to an upstream that was lost, with its cause as a type, so that nobody reads it out of the
- * message. Its entry, details and message are those of the catalogue; the cause stays in this process.
- */
+/** Error of a lost upstream connection with its cause, which isn't sent to other processes. */
 import { RequestError, type Verdict } from '../core/errors/index.ts'
 
-/** Cause of the loss: nobody listens, the peer reset it, it ended under a statement, or anything else. */
+/** Cause of the loss: connection refused, reset by the peer, closed during a statement, or any other. */
 type LossCause = 'refused' | 'reset' | 'broken' | 'other'
 
-/** Causes by the code of the socket's error. */
+/** Causes by socket error code. */
 const CAUSES: Record<string, LossCause | undefined> = { ECONNREFUSED: 'refused', ECONNRESET: 'reset' }
 
-/** A connection to an upstream was lost. */
+/** Thrown when the connection to an upstream is lost. */
 export class ConnectionLostError extends RequestError<'ConnectionLost'> {
   readonly lossCause: LossCause
 
@@ -21,10 +18,9 @@
 }
 
 /**
- * Finds the cause of a loss.
+ * Determines the cause of a socket or driver error.
  *
- * @param error - error of the socket or of the driver
- * @returns the cause; `other` for a name with several addresses, since the code is that of the first address alone
+ * @returns the cause; `other` for an AggregateError, whose code is only that of the first address tried
  */
 export function lossCauseOf (error: Error & { code?: string }): LossCause {
   const cause = error instanceof AggregateError ? undefined : CAUSES[error.code ?? '']
@@ -32,11 +28,8 @@
 }
 
 /**
- * Decides whether an upstream had no room for a connection. Read from the text, since a reply over a peer link carries
- * entry, details and verdict, and no further cause.
- *
- * @param error - the error
- * @returns whether it had none
+ * Checks whether an upstream refused a connection because its connection limit was reached. Matches the message, since
+ * errors received from a peer carry no cause.
  */
 export function isTooManyConnections (error: unknown): boolean {
   return error instanceof RequestError && error.entry === 'ConnectionLost' &&
--- a/src/mysql/consts.ts
+++ b/src/mysql/consts.ts
@@ -1,6 +1,6 @@
-/** Numbers of the MySQL protocol that are used by name. */
+/** Constants of the MySQL protocol. */
 
-/** Command codes a server takes. */
+/** Command codes that the server supports. */
 export const COMMAND = {
   quit: 0x01,
   selectDatabase: 0x02,
@@ -30,7 +30,7 @@
 
 /** Character set of text columns: utf8mb4. */
 export const TEXT_CHARACTER_SET = 45
-/** Character set of numbers and bytes. */
+/** Character set of numeric and binary columns. */
 export const BINARY_CHARACTER_SET = 63
 
 /** Capabilities offered to clients: protocol 4.1, native passwords, default database, attributes. */
@@ -45,7 +45,7 @@
   0x00080000 | // plug-in authentication
   0x00100000 // connection attributes
 
-/** MySQL error codes the project sends or recognises. */
+/** MySQL error codes that worksward sends or handles. */
 export const MYSQL_ERROR = {
   tooManyConnections: 1040,
   accessDenied: 1045,
--- a/src/mysql/execute-decoder.ts
+++ b/src/mysql/execute-decoder.ts
@@ -1,9 +1,6 @@
 /**
- * Reads the values of an executed prepared statement.
- *
- * mysql2 has a decoder for this packet, but it finds the parameter types by searching the whole packet for bytes
- * that look like one, so values that contain such bytes are misread (test/mysql/execute-decoder.test.ts shows
- * one). The number of placeholders is known here, so the types are read from where they stand.
+ * Decodes the parameters of an execute command. mysql2's decoder searches the packet for the parameter types, so it
+ * misreads values that look like a type; this one computes their offset from the number of placeholders.
  */
 import { COLUMN_TYPE } from './consts.ts'
 import type { StatementValue } from './types.ts'
@@ -14,7 +11,7 @@
 const TYPE_TIME = 11
 const TYPE_DATETIME = 12
 const UNSIGNED_FLAG = 0x80
-/** Statement id, cursor flags and iteration count. */
+/** Length of statement id, cursor flags and iteration count. */
 const EXECUTE_HEADER_BYTES = 9
 
 /** Type of one parameter. */
@@ -23,16 +20,16 @@
   unsigned: boolean
 }
 
-/** A statement's parameter types; clients may leave them out when they have not changed. */
+/** A statement's parameter types; clients may omit them if they haven't changed since the last execution. */
 export type ParameterTypes = ParameterType[]
 
-/** The values read, with the types they had. */
+/** Decoded parameter values and their types. */
 interface DecodedExecution {
   values: StatementValue[]
   types: ParameterTypes
 }
 
-/** Reads bytes one after the other. */
+/** Reads a buffer sequentially. */
 class ByteReader {
   private offset = 0
   private readonly bytes: Buffer
@@ -49,7 +46,7 @@
     return this.bytes.subarray(this.offset - length, this.offset)
   }
 
-  takeLengthCoded (): Buffer {
+  takeLengthEncoded (): Buffer {
     return this.take(this.takeLength())
   }
 
@@ -69,9 +66,9 @@
  * Decodes the body of an execute command.
  *
  * @param body - the packet after the command byte
- * @param parameters - number of placeholders of the statement
- * @param knownTypes - types of the previous execution
- * @returns values and types
+ * @param parameters - number of the statement's placeholders
+ * @param knownTypes - types of the previous execution, used if the packet contains none
+ * @throws RangeError if the packet is truncated or a parameter type is unsupported
  */
 export function decodeExecution (body: Buffer, parameters: number, knownTypes: ParameterTypes): DecodedExecution {
   const reader = new ByteReader(body)
@@ -80,8 +77,8 @@
     return { values: [], types: [] }
   }
   const nulls = reader.take((parameters + 7) >> 3)
-  const typesFollow = reader.take(1)[0] === 1
-  const types = typesFollow ? readTypes(reader, parameters) : knownTypes
+  const includesTypes = reader.take(1)[0] === 1
+  const types = includesTypes ? readTypes(reader, parameters) : knownTypes
   if (types.length !== parameters) {
     throw new RangeError('the execute packet has no parameter types')
   }
@@ -101,7 +98,7 @@
 
 function readValue (reader: ByteReader, type: ParameterType): StatementValue {
   const read = VALUE_READERS[type.code]
-  return read === undefined ? reader.takeLengthCoded().toString('utf8') : read(reader, type.unsigned)
+  return read === undefined ? reader.takeLengthEncoded().toString('utf8') : read(reader, type.unsigned)
 }
 
 const VALUE_READERS: Record<number, (reader: ByteReader, unsigned: boolean) => StatementValue> = {
@@ -114,7 +111,7 @@
   ),
   [COLUMN_TYPE.float]: (reader) => reader.take(4).readFloatLE(),
   [COLUMN_TYPE.double]: (reader) => reader.take(8).readDoubleLE(),
-  [COLUMN_TYPE.blob]: (reader) => Buffer.from(reader.takeLengthCoded()),
+  [COLUMN_TYPE.blob]: (reader) => Buffer.from(reader.takeLengthEncoded()),
   [TYPE_DATE]: readDateTime,
   [TYPE_DATETIME]: readDateTime,
   [TYPE_TIMESTAMP]: readDateTime,
@@ -126,7 +123,7 @@
   return Number.isSafeInteger(number) ? number : value
 }
 
-/** Dates are handed on as text, so that no time zone is applied on the way. */
+/** Decodes dates as text, so that no time zone conversion takes place. */
 function readDateTime (reader: ByteReader): string {
   const bytes = reader.take(reader.take(1)[0]!)
   const pad = (value: number, width: number): string => String(value).padStart(width, '0')
--- a/src/mysql/named-rows.ts
+++ b/src/mysql/named-rows.ts
@@ -1,11 +1,10 @@
-/** Reads rows by the names of their columns. */
+/** Access to the cells of a row by column name. */
 import type { RowsAnswer } from './types.ts'
 
 /**
- * Names the cells of each row.
+ * Converts rows to objects.
  *
- * @param answer - the answer
- * @returns one object for each row; NULL reads as an empty text
+ * @returns one object per row, keyed by column name; NULL becomes an empty string
  */
 export function readNamedRows ({ columns, rows }: RowsAnswer): Array<Record<string, string>> {
   return rows.map((row) =>
--- a/src/mysql/prepared-statements.ts
+++ b/src/mysql/prepared-statements.ts
@@ -1,48 +1,42 @@
-/** The statements that one client has prepared. */
+/** Prepared statements of a client connection. */
 import { decodeExecution, type ParameterTypes } from './execute-decoder.ts'
 import { countPlaceholders } from './statement-lexer.ts'
 import type { Statement } from './types.ts'
 
-/** Greatest number of prepared statements of a connection. */
+/** Maximum number of prepared statements per connection. */
 const MAXIMUM_PREPARED_STATEMENTS = 1000
 
 /** A prepared statement. */
 interface PreparedStatement {
   sql: string
-  /** Number of its placeholders. */
+  /** Number of placeholders. */
   parameters: number
-  /** Types of the last execution; a client may leave them out of the next one. */
+  /** Types of the last execution, which apply to the next one if the client omits them. */
   types: ParameterTypes
 }
 
-/** The prepared statements of a connection. */
+/** Registry of a connection's prepared statements. */
 export interface PreparedStatements {
-  /** Whether no further statement can be prepared. */
+  /** Whether the limit of prepared statements is reached. */
   readonly full: boolean
   /**
    * Prepares a statement.
    *
-   * @param sql - its text
-   * @returns its id on this connection, and the number of its placeholders
+   * @returns its id on this connection and the number of its placeholders
    */
   prepare: (sql: string) => { statementId: number, parameters: number }
   /**
-   * Reads the values of an execution.
+   * Decodes the parameters of an execute command.
    *
-   * @param statementId - id of the statement
-   * @param body - body of the command
-   * @returns the statement with its values, or undefined when there is none of that id
+   * @param body - the packet after the command byte
+   * @returns the statement with its values, or undefined if the id is unknown
    */
   bind: (statementId: number, body: Buffer) => Statement | undefined
   close: (statementId: number) => void
   closeAll: () => void
 }
 
-/**
- * Creates the prepared statements of a connection.
- *
- * @returns the statements; there are none
- */
+/** Creates an empty registry. */
 export function createPreparedStatements (): PreparedStatements {
   const statements = new Map<number, PreparedStatement>()
   let nextStatementId = 1
--- a/src/mysql/serve-client.ts
+++ b/src/mysql/serve-client.ts
@@ -1,4 +1,4 @@
-/** Serves one client from its handshake to the end of its connection. */
+/** Serves one client connection from handshake to close. */
 import { greetClient } from './authentication.ts'
 import type { ServeOptions } from './client-handler.ts'
 import { createCommandQueue } from './command-queue.ts'
@@ -8,11 +8,9 @@
 import type { ReceivedPacket, ServerConnection } from './server-connection.ts'
 
 /**
- * Serves a client. Its handler is created with its first command, after it has authenticated itself.
+ * Serves a client. The handler is created at the first command after authentication.
  *
- * @param connection - the client's connection
- * @param connectionId - id of the connection on this server
- * @param options - how clients are served
+ * @param connectionId - id of the connection, unique in this server
  */
 export function serveClient (connection: ServerConnection, connectionId: number, options: ServeOptions): void {
   const credentials = { user: '', database: '' }
@@ -46,7 +44,7 @@
     packet.readInt8()
     queue.add({ code, packet })
   })
-  silenceBuiltInHandlers(connection)
+  disableBuiltInHandlers(connection)
   greetClient({
     connection,
     connectionId,
@@ -55,15 +53,15 @@
   })
 }
 
-/** Every command is taken from the `packet` event; these listeners only keep mysql2 from answering itself. */
-function silenceBuiltInHandlers (connection: ServerConnection): void {
+/** Registers empty listeners, since mysql2 answers commands without listeners; the `packet` event handles them all. */
+function disableBuiltInHandlers (connection: ServerConnection): void {
   for (const event of ['query', 'stmt_prepare', 'stmt_execute', 'init_db', 'ping', 'field_list']) {
     connection.on(event, () => {})
   }
   connection.on('quit', () => connection.stream.end())
 }
 
-/** Runs one command and writes its answer in one piece. */
+/** Runs a command and writes all packets of its answer in one write. */
 async function answer (
   connection: ServerConnection,
   options: ServeOptions,
--- a/src/mysql/server-connection.ts
+++ b/src/mysql/server-connection.ts
@@ -1,4 +1,4 @@
-/** The parts of mysql2's server-side connection that its published types leave out. */
+/** Types of mysql2's server-side connection that its type definitions don't cover. */
 import type { EventEmitter } from 'node:events'
 import type { Socket } from 'node:net'
 
@@ -19,7 +19,7 @@
   writeHeader: (sequenceId: number) => void
 }
 
-/** What a client said when it connected. */
+/** A client's handshake response. */
 export interface AuthenticationRequest {
   user: string
   database: string
@@ -28,7 +28,7 @@
   authToken: Buffer
 }
 
-/** Options of the server's side of the handshake. */
+/** Options of the server-side handshake. */
 interface HandshakeOptions {
   protocolVersion: number
   serverVersion: string
@@ -42,7 +42,7 @@
   ) => void
 }
 
-/** A client's connection, seen from the server. */
+/** Server side of a client connection. */
 export interface ServerConnection extends EventEmitter {
   stream: Socket
   sequenceId: number
--- a/src/mysql/statement-lexer.ts
+++ b/src/mysql/statement-lexer.ts
@@ -1,4 +1,4 @@
-/** Splits a statement into comments, literals and the rest, enough to find placeholders and the hint. */
+/** Splits SQL statements into tokens, in enough detail to find placeholders and hint comments. */
 import { Lexer, createToken } from 'chevrotain'
 
 const comment = createToken({ name: 'Comment', pattern: /\/\*[\s\S]*?\*\//, line_breaks: true })
@@ -17,7 +17,7 @@
   { positionTracking: 'onlyOffset', ensureOptimizations: false }
 )
 
-/** A piece of a statement. */
+/** A token of a statement. */
 interface StatementToken {
   type: 'Comment' | 'LineComment' | 'SingleQuoted' | 'DoubleQuoted' | 'QuotedName' | 'Placeholder' | 'Separator'
     | 'Word' | 'Symbol'
@@ -25,12 +25,7 @@
   offset: number
 }
 
-/**
- * Splits a statement.
- *
- * @param sql - the statement
- * @returns its tokens; white space is left out
- */
+/** Splits a statement into tokens, without white space. */
 export function tokenizeStatement (sql: string): StatementToken[] {
   return lexer.tokenize(sql).tokens.map((token) => ({
     type: token.tokenType.name as StatementToken['type'],
@@ -39,12 +34,7 @@
   }))
 }
 
-/**
- * Counts the placeholders of a statement.
- *
- * @param sql - the statement
- * @returns the number of `?` outside literals and comments
- */
+/** Counts the placeholders of a statement: every `?` outside of literals and comments. */
 export function countPlaceholders (sql: string): number {
   return tokenizeStatement(sql).filter((token) => token.type === 'Placeholder').length
 }
--- a/src/mysql/types.ts
+++ b/src/mysql/types.ts
@@ -1,6 +1,6 @@
-/** Answers and columns as they pass between callers, proxies and upstreams. */
+/** Statements and results, as exchanged between callers, proxies and upstreams. */
 
-/** A column of an answer. */
+/** A result column. */
 export interface Column {
   name: string
   /** MySQL column type code. */
@@ -11,34 +11,34 @@
   decimals: number
 }
 
-/** A cell in the text representation of the MySQL protocol. */
+/** A value in MySQL's text encoding, or null. */
 export type Cell = Buffer | null
 
-/** A statement that returned no rows. */
+/** The result of a statement without rows. */
 export interface DoneAnswer {
   type: 'done'
   affectedRows: number
   insertId: number
 }
 
-/** A statement that returned rows. */
+/** The result of a statement with rows. */
 export interface RowsAnswer {
   type: 'rows'
   columns: Column[]
   rows: Cell[][]
 }
 
-/** What a statement returned. */
+/** The result of a statement. */
 export type Answer = DoneAnswer | RowsAnswer
 
 /** A value bound to a placeholder of a statement. */
 export type StatementValue = string | number | bigint | boolean | Buffer | Date | null
 
-/** A statement and the values of its placeholders, if it was prepared. */
+/** A statement; a prepared one with the values of its placeholders. */
 export interface Statement {
   sql: string
   values?: StatementValue[]
 }
 
-/** An answer without rows or effect. */
+/** A result without rows or affected rows. */
 export const EMPTY_ANSWER: DoneAnswer = { type: 'done', affectedRows: 0, insertId: 0 }
--- a/test/mysql/command-queue.test.ts
+++ b/test/mysql/command-queue.test.ts
@@ -3,7 +3,7 @@
 import { createCommandQueue } from '../../src/mysql/command-queue.ts'
 
 describe('createCommandQueue', () => {
-  it('runs commands in the order of their arrival, one at a time, then finishes', async () => {
+  it('runs commands sequentially in order, then finishes', async () => {
     const steps: string[] = []
     const finished = new Promise<void>((resolve) => {
       const queue = createCommandQueue<string>(async (command) => {
@@ -19,7 +19,7 @@
     expect(steps).toEqual(['begin a', 'end a', 'begin b', 'end b'])
   })
 
-  it('finishes at once when it is idle', () => {
+  it('finishes immediately if it is idle', () => {
     let finished = 0
     const queue = createCommandQueue<string>(async () => {}, () => { finished++ })
     queue.finishWhenIdle()
