--- a/test/platform/caller-port.test.ts
+++ b/test/platform/caller-port.test.ts
@@ -77,8 +77,8 @@
   }
 })
 
-describe('callers on the line wire', () => {
-  it('name a key, of which nothing but the digest goes on', async () => {
+describe('caller port', () => {
+  it('passes on only the digest of a caller\'s key', async () => {
     const { port, links, served } = await listen(async () => done)
     const caller = await call(port)
     caller.socket.write('START lepu270 zpplehty3nwq81ssx04k\r\nQUERY 5c0e READ 1a4\r\n')
@@ -87,7 +87,7 @@
     expect(JSON.stringify([links, served]).includes('zpplehty3nwq81ssx04k')).toEqual(false)
   })
 
-  it('passes texts on byte for byte and writes the answer in full', async () => {
+  it('forwards texts byte for byte and writes the complete answer', async () => {
     const { port, served } = await listen(async () => done)
     const caller = await call(port)
     caller.socket.write(Buffer.from('START d1 u1\r\nQUERY 7a WRITE k a  b\xe9 \r\n', 'latin1'))
@@ -96,7 +96,7 @@
     expect(served).toEqual([{ id: '7a', statement: { type: 'data', access: 'write', text: 'WRITE k a  b\xe9 ' } }])
   })
 
-  it('serves nothing that comes after it has ended the connection', async () => {
+  it('ignores requests received after it has ended the connection', async () => {
     const { port, links, served } = await listen(async () => done)
     const caller = await call(port)
     caller.socket.write('START d1 u1\r\n')
@@ -108,7 +108,7 @@
     expect(served).toEqual([])
   })
 
-  it('answers what is in progress before it ends the connection', async () => {
+  it('answers the request in progress before it ends the connection', async () => {
     let finish = (_answer: StatementAnswer): void => {}
     const { port, links } = await listen(async () => await new Promise((resolve) => { finish = resolve }))
     const caller = await call(port)
@@ -121,7 +121,7 @@
     expect(caller.text()).toEqual('READY I -\r\nROW r w\r\nDONE s.1\r\nREADY I 3.9\r\n')
   })
 
-  it('refuses bad input with a clear error and harms nobody else', async () => {
+  it('rejects invalid input with an error and keeps serving other callers', async () => {
     const { port } = await listen(async () => done)
     const other = await call(port)
     other.socket.write('START d1 u1\r\n')
--- a/test/platform/http-client.test.ts
+++ b/test/platform/http-client.test.ts
@@ -5,14 +5,14 @@
 import { expect } from 'earl'
 import { createHttpClient, type HttpClient } from '../../platform/http-client.ts'
 
-/** Time after which the client of these tests gives up, in milliseconds; the server is on this machine. */
+/** Timeout of the client's calls, in milliseconds. */
 const TIMEOUT_MS = 200
 
-describe('the client of the platform', () => {
+describe('createHttpClient', () => {
   let server: Server
   let client: HttpClient
   const sockets: Socket[] = []
-  /** Connections whose requests get no answer. */
+  /** Connections whose requests the server doesn't answer. */
   const silent = new Set<Socket>()
 
   const start = async (keepAlive: boolean): Promise<void> => {
@@ -38,14 +38,14 @@
     await new Promise((resolve) => server.close(resolve))
   })
 
-  it('uses a connection again', async () => {
+  it('reuses a connection', async () => {
     await start(true)
     await ask()
     await ask()
     expect(sockets.length).toEqual(1)
   })
 
-  it('drops the connections that rest when one has gone silent', async () => {
+  it('closes idle connections after a call has timed out', async () => {
     await start(true)
     await Promise.all([ask(), ask(), ask()])
     sockets.forEach((socket) => silent.add(socket))
@@ -54,7 +54,7 @@
     expect(sockets.length).toEqual(4)
   })
 
-  it('opens a connection for each call when told to keep none', async () => {
+  it('opens a connection for each call without keep-alive', async () => {
     await start(false)
     await ask()
     await ask()
--- a/test/platform/secrets.test.ts
+++ b/test/platform/secrets.test.ts
@@ -35,8 +35,8 @@
   close: () => {}
 })
 
-describe('keys of organisations', () => {
-  it('are replaced by digests before a row of the desired state leaves the port', async () => {
+describe('API keys of organisations', () => {
+  it('are replaced by digests in rows that the store client returns', async () => {
     const { rows } = await storeOf(JSON.stringify(state)).list('op')
     const changes = await storeOf(JSON.stringify(state)).follow('op', 0, 1, new AbortController().signal)
     const texts = [rows[0]!.value, changes!.changed[0]!.value]
@@ -48,7 +48,7 @@
     expect([routes.get('lepu270')?.needsKey, routes.get('open1')?.needsKey]).toEqual([true, false])
   })
 
-  it('do not leave the port with a text that cannot be read, nor in the reason why it cannot', async () => {
+  it('appear neither in the row nor in the error if the desired state is invalid JSON', async () => {
     const broken = JSON.stringify(state).slice(0, -3)
     const { rows } = await storeOf(broken).list('op')
     let reason = ''
@@ -61,7 +61,7 @@
     expect(KEYS.some((key) => `${rows[0]!.value} ${reason}`.includes(key))).toEqual(false)
   })
 
-  it('stay out of sealed texts wherever they stand', () => {
+  it('are replaced at any depth of nesting', () => {
     const nested = fastCheck.letrec((tie) => ({
       value: fastCheck.oneof(
         fastCheck.string(), fastCheck.array(tie('value'), { maxLength: 3 }),
@@ -74,11 +74,11 @@
   })
 })
 
-describe('rows of upstreams that other writers have written', () => {
+describe('invalid rows of upstreams', () => {
   const server = { service: 'g', address: '10.1.0.8:8500', zone: 'z', slots: 3, state: 'ready', born: 1_790_000_000_123 }
   const decode = (value: unknown) => directory.decode({ key: 'i-1', value: JSON.stringify(value), version: 1 })
 
-  it('name no upstream when a field is missing, of another type, or says what is not known', () => {
+  it('decode to undefined if a field is missing or has the wrong type or an unknown value', () => {
     expect(decode(server)?.bornAt).toEqual(1_790_000_000_123)
     const { address: _address, ...incomplete } = server
     const wrong: unknown[] = [
@@ -89,7 +89,7 @@
     expect(wrong.map(decode)).toEqual(wrong.map(() => undefined))
   })
 
-  it('never throw, whatever bytes they hold', () => {
+  it('never throw, whatever they contain', () => {
     const anything = fastCheck.oneof(
       fastCheck.string(), fastCheck.double(), fastCheck.boolean(), fastCheck.constant(null))
     const fields = Object.fromEntries(Object.keys(server).map((name) => [name, anything]))
--- a/test/platform/store-client.test.ts
+++ b/test/platform/store-client.test.ts
@@ -7,7 +7,7 @@
 
 const encode = (text: string): string => Buffer.from(text).toString('base64')
 
-/** A client that answers from a list and keeps what it was asked. */
+/** Creates an HTTP client that returns the given answers in order and records the calls. */
 function scripted (answers: Array<{ status?: number, body?: unknown }>): HttpClient & { calls: HttpCall[] } {
   const calls: HttpCall[] = []
   return {
@@ -21,8 +21,8 @@
   }
 }
 
-describe('the client of the metadata store', () => {
-  it('reads a table page by page, as of the last page', async () => {
+describe('createStore', () => {
+  it('reads a table page by page and returns version and time of the last page', async () => {
     const row = (key: string, ver: number) => ({ table: 't', part: '', 'tls-key': key, value: encode(`of ${key}`), ver })
     const http = scripted([
       { body: { rows: [row('a', 1), row('b', 2)], ver: 7, 'now-ms': 70, 'has-more': true } },
@@ -34,7 +34,7 @@
     expect(new URLSearchParams(http.calls[1]!.path.split('?')[1]).get('from')).toEqual('b\0')
   })
 
-  it('tells changed rows from removed ones, and the newest change', async () => {
+  it('separates changed from removed rows and returns the newest version', async () => {
     const http = scripted([{
       body: {
         rows: [
@@ -49,12 +49,12 @@
     })
   })
 
-  it('knows when history is gone', async () => {
+  it('returns undefined if the store no longer has the history', async () => {
     const http = scripted([{ status: 410 }])
     expect(await createStore(http).follow('t', 3, 500, new AbortController().signal)).toEqual(undefined)
   })
 
-  it('writes under conditions and tells whether they held', async () => {
+  it('writes conditionally and returns whether the conditions held', async () => {
     const http = scripted([{ status: 200 }, { status: 412, body: { rows: [] } }])
     const store = createStore(http)
     const transaction = {
@@ -68,7 +68,7 @@
     })
   })
 
-  it('takes the newest of a row that was written several times since the last question', async () => {
+  it('returns only the newest version of a row that was written several times', async () => {
     const row = (key: string, ver: number, deleted = false) =>
       deleted ? { 'tls-key': key, ver, deleted } : { 'tls-key': key, ver, value: encode(`${key}${ver}`) }
     const http = scripted([{
@@ -87,20 +87,20 @@
   })
 
   for (const status of [429, 503, 500]) {
-    it(`takes an answer ${status} for an unavailable store`, async () => {
+    it(`reports the store as unavailable for status ${status}`, async () => {
       await expect(createStore(scripted([{ status }])).list('t')).toBeRejectedWith(`status ${status}`)
     })
   }
 
-  it('takes an answer that cannot be read for an unavailable store', async () => {
+  it('reports the store as unavailable if the answer is invalid', async () => {
     await expect(createStore(scripted([{ body: '<html>' }])).list('t')).toBeRejectedWith('read rows')
   })
 })
 
-describe('the client of promotions', () => {
+describe('createPromotion', () => {
   const order = { group: 'g', upstream: 'i-1', holder: 'h1', fence: 7 }
 
-  it('names the holder and the fencing token', async () => {
+  it('sends the holder and the fencing token', async () => {
     const http = scripted([{}])
     expect(await createPromotion(http).promote(order)).toEqual('accepted')
     expect([http.calls[0]!.headers, http.calls[0]!.body]).toEqual([
@@ -108,7 +108,7 @@
     ])
   })
 
-  it('knows an upstream that does not run, and leaves all other answers open', async () => {
+  it('recognises an upstream that is not running and rejects for other statuses', async () => {
     expect(await createPromotion(scripted([{ status: 409 }])).promote(order)).toEqual('not-running')
     await expect(createPromotion(scripted([{ status: 503 }])).promote(order)).toBeRejectedWith('status 503')
   })
@@ -138,18 +138,18 @@
     })
   })
 
-  it('decodes one that leaves and does not say what it is', () => {
+  it('decodes a draining upstream without a role', () => {
     const { 'db-role': _role, ...silent } = { ...server, state: 'draining' }
     const decoded = directory.decode({ key: 'i-1', value: JSON.stringify(silent), version: 1 })
     expect([decoded?.draining, decoded?.claimsPrimary]).toEqual([true, false])
   })
 
-  it('refuses a row that it cannot read', () => {
+  it('returns undefined for an invalid upstream', () => {
     expect(directory.decode({ key: 'i-1', value: '{"service":', version: 1 })).toEqual(undefined)
     expect(directory.decode({ key: 'i-1', value: '{"service":3}', version: 1 })).toEqual(undefined)
   })
 
-  it('decodes a desired state, and refuses one that lacks something', () => {
+  it('decodes a desired state and rejects an incomplete one', () => {
     const route = {
       name: 'r',
       host: 'lepu270',
--- a/test/platform/upstream-port.test.ts
+++ b/test/platform/upstream-port.test.ts
@@ -7,15 +7,15 @@
 import { RequestError } from '../../src/core/errors/index.ts'
 import type { UpstreamConnection, UpstreamPort } from '../../src/entry/ports/index.ts'
 
-/** Time that an upstream of these tests has to take a connection, in milliseconds; it is on this machine. */
+/** Timeout for opening a connection, in milliseconds. */
 const OPEN_MS = 400
 const LINE_END = '\r\n'
 
-describe('the port for upstreams', () => {
+describe('upstream port', () => {
   let server: Server
   let port: UpstreamPort
   let received: string[]
-  /** What the upstream answers to a line; nothing when undefined. */
+  /** Returns the upstream's answer to a line, or undefined to send none. */
   let answer: (line: string, socket: Socket) => string[] | undefined
   beforeEach(async () => {
     received = []
@@ -56,14 +56,14 @@
     return thrown as RequestError
   }
 
-  it('names the group and the identity that it expects', async () => {
+  it('sends the group and the id of the expected upstream', async () => {
     await open()
     expect(received).toEqual(['START lepu270 worksward i-7f3a91c2'])
     await open('reader-club')
     expect(received.at(-1)).toEqual('START lepu270 reader-club i-7f3a91c2')
   })
 
-  it('passes on ids, texts and positions, and decodes rows, signature, state and position', async () => {
+  it('encodes ids, texts and positions, and decodes rows, signature, state and position', async () => {
     const connection = await open()
     answer = () => ['ROW qhzk wmt', 'ROW ', 'DONE 7.1f3.c', 'READY T 3.1209']
     const read = await connection.run({
@@ -75,7 +75,7 @@
     })
   })
 
-  it('gives statements of its own no id', async () => {
+  it('sends no id with statements that no caller sent', async () => {
     const connection = await open()
     const prepared = { access: 'write', shape: 'q2 c' } as const
     await connection.run({ type: 'prepare', name: 'w1', prepared })
@@ -99,7 +99,7 @@
   }
 
   for (const [code, reason] of [['MISROUTED', 'misrouted'], ['TOOMANY', 'too-many-connections'], ['BUSY', 'busy']]) {
-    it(`knows that nothing ran when a connection is refused with ${code}`, async () => {
+    it(`reports that nothing ran if a connection is refused with ${code}`, async () => {
       answer = (_line, socket) => {
         socket.end(`ERR ${code} i-1${LINE_END}`)
         return undefined
@@ -110,12 +110,12 @@
     })
   }
 
-  it('gives a connection up that is not answered', async () => {
+  it('gives up opening a connection after the timeout', async () => {
     answer = () => undefined
     expect((await errorOf(open())).verdict).toEqual('not-run')
   })
 
-  it('leaves open whether a statement ran whose connection breaks', async () => {
+  it('reports that a statement may have run if its connection breaks', async () => {
     const connection = await open()
     answer = (_line, socket) => {
       socket.end(`ROW half${LINE_END}`)
@@ -127,7 +127,7 @@
     expect((await errorOf(connection.run({ type: 'rollback' }))).verdict).toEqual('not-run')
   })
 
-  it('closes a connection that says what nobody asked', async () => {
+  it('closes a connection that sends an unexpected line', async () => {
     const connection = await open()
     answer = () => ['DONE -', 'READY I -', 'ROW late']
     await connection.run({ type: 'reset' }).catch(() => {})
@@ -135,9 +135,9 @@
     expect(connection.closed).toEqual(true)
   })
 
-  const BAD_LINES = [['too much', `ROW ${'x'.repeat(MAXIMUM_MESSAGE_BYTES)}`], ['what cannot be read', 'READY ? 1.1']]
+  const BAD_LINES = [['an oversized line', `ROW ${'x'.repeat(MAXIMUM_MESSAGE_BYTES)}`], ['an invalid line', 'READY ? 1.1']]
   for (const [what, line] of BAD_LINES) {
-    it(`closes a connection that says ${what}`, async () => {
+    it(`closes a connection that sends ${what}`, async () => {
       const connection = await open()
       answer = () => [line!]
       expect((await errorOf(connection.run({ type: 'reset' }))).verdict).toEqual('may-have-run')
@@ -154,7 +154,7 @@
     expect(received.at(-1)).toEqual('QUERY - DEMOTE 4')
   })
 
-  it('takes a status that cannot be read for none', async () => {
+  it('rejects if the status is invalid', async () => {
     const connection = await open()
     answer = () => ['ERR BUSY i-7f3a91c2', 'READY I -']
     expect((await errorOf(connection.status())).verdict).toEqual('not-run')
