--- a/deploy/bundle.js
+++ b/deploy/bundle.js
@@ -1,9 +1,9 @@
-// Bundles the entry process into one file, and compiles it ahead, so that it starts quickly and loads only what it uses.
+// Bundles the entry process into one file and writes its V8 code cache, to shorten the start of the process.
 import { execFileSync } from 'node:child_process'
 import { readFileSync } from 'node:fs'
 import { build } from 'esbuild'
 
-/** The bundle; `start.cjs` runs it. */
+/** Output file, which `start.cjs` runs. */
 const BUNDLE = 'target/worksward-entry.cjs'
 
 await build({
@@ -15,17 +15,17 @@
   format: 'cjs',
   minifySyntax: true,
   external: ['cbor-extract'],
-  // Without it the logging library loads colours and terminals: 10 ms of a start.
+  // Keeps the logging library from loading its terminal and colour support.
   define: { 'process.env.NODE_ENV': '"production"' },
   alias: {
-    // The rest of the package formats numbers while it loads, which brings in the runtime's locales: 20 ms of a start.
+    // The package's main module formats numbers while loading, which makes the runtime load its locale data.
     'hdr-histogram-js': 'hdr-histogram-js/dist/HistogramBuilder.js',
-    // The rest of the package loads HTTPS, clusters and default metrics: 12 ms of a start.
+    // The package's main module loads HTTPS, cluster support and default metrics, which are unused here.
     'prom-client': './deploy/prom-client.cjs'
   }
 })
 
-/** Options of the runtime with which the entry process runs: code that was compiled under others is not accepted. */
+/** Returns the Node.js options of the deployed process; the code cache is rejected under different options. */
 function runtimeOptions () {
   const [, options = ''] = /^run = "node (.*?) ?deploy\/start\.cjs"$/m.exec(readFileSync('deploy/system.toml', 'utf8')) ?? []
   return options.split(' ')
--- a/deploy/compile.cjs
+++ b/deploy/compile.cjs
@@ -1,5 +1,5 @@
-// Compiles a bundle and writes the code beside it: `node OPTIONS deploy/compile.cjs BUNDLE`. Runs with the options of the
-// runtime that the bundle will run with. Functions are compiled when they are first called, so the program runs once.
+// Writes the V8 code cache of a bundle: `node OPTIONS deploy/compile.cjs BUNDLE`. OPTIONS must be those that the bundle
+// will run with. Functions are compiled at their first call, so the bundle is run once with `--version`.
 const { writeFileSync } = require('node:fs')
 const { compiledFileOf, readBundle, runBundle } = require('./load-bundle.cjs')
 
--- a/deploy/start.cjs
+++ b/deploy/start.cjs
@@ -1,4 +1,4 @@
-// Starts the bundled entry process. Compiling it anew takes 25 to 41 ms of processor time more.
+// Starts the bundled entry process with its code cache; logs a warning if the cache is missing or rejected.
 const { existsSync, readFileSync } = require('node:fs')
 const { join } = require('node:path')
 const { compiledFileOf, readBundle, runBundle } = require('./load-bundle.cjs')
--- a/test/deploy/bundle.test.ts
+++ b/test/deploy/bundle.test.ts
@@ -8,7 +8,7 @@
 const ROOT = new URL('../../', import.meta.url).pathname
 const COMPILED = `${ROOT}target/worksward-entry.cjs.compiled`
 
-/** Options with which the deploy file runs the entry process. */
+/** Node.js options of the entry process in `deploy/system.toml`. */
 function deployedOptions (): string[] {
   const [, options = ''] = /^run = "node (.*) deploy\/start\.cjs"$/m.exec(readFileSync(`${ROOT}deploy/system.toml`, 'utf8')) ?? []
   return options.split(' ')
@@ -17,14 +17,14 @@
 describe('the bundled entry process', () => {
   before(async () => { await run(process.execPath, ['deploy/bundle.js'], { cwd: ROOT }) })
 
-  it('starts with the code that was compiled when it was built', async () => {
+  it('starts with the code cache written at build time', async () => {
     expect(existsSync(COMPILED)).toEqual(true)
     const { stdout, stderr } = await run(process.execPath, [...deployedOptions(), 'deploy/start.cjs', '--version'], { cwd: ROOT })
     expect(stdout).toMatchRegex(/^worksward-entry\//)
     expect(stderr).toEqual('')
   })
 
-  it('compiles itself anew under other options of the runtime, and says so', async () => {
+  it('ignores the code cache under different Node.js options and logs a warning', async () => {
     const { stdout, stderr } = await run(process.execPath, ['--stack-size=900', 'deploy/start.cjs', '--version'], { cwd: ROOT })
     expect(stdout).toMatchRegex(/^worksward-entry\//)
     expect(stderr).toMatchRegex(/event=process\.compiled-anew/)
--- a/test/docs/paths.test.ts
+++ b/test/docs/paths.test.ts
@@ -6,28 +6,28 @@
 import { expect } from 'earl'
 
 const ROOT = fileURLToPath(new URL('../../', import.meta.url))
-/** Accounts of runs stay as they were written, and may name what was there at the time. */
+/** Records of past runs, which aren't updated and may name paths that no longer exist. */
 const ACCOUNTS = /^(?:journal|docs\/incidents)\//
 const FOLDERS = 'src|platform|test|bench|docs|deploy|bin|examples'
-/** A path from the root; not one inside a longer path or word. */
+/** Matches a path relative to the root that isn't part of a longer path or word. */
 const PATH = new RegExp(String.raw`(?<![\w./@-])(?:${FOLDERS})/[\w./-]*`, 'g')
 const LINK = /\]\(([^)\s]+)\)/g
 const BACKQUOTED = /`([^`]+)`/g
 
-/** A path that a text names, and where. */
+/** A path found in a text. */
 interface NamedPath {
   line: number
   path: string
-  /** Whether it counts from the folder of the text. */
+  /** Whether the path is relative to the folder of the text, rather than to the root. */
   isRelative: boolean
 }
 
-/** Paths from the root in a piece of text; the full stop of a sentence is no part of one. */
+/** Finds paths relative to the root, without the full stop of a sentence. */
 function rootPaths (text: string, line: number): NamedPath[] {
   return [...text.matchAll(PATH)].map(([path]) => ({ line, path: path.replace(/\.+$/, ''), isRelative: false }))
 }
 
-/** Targets of links, without those that lead elsewhere or to a heading of the same page. */
+/** Finds targets of links, except for URLs and headings of the same page. */
 function linkedPaths (text: string, line: number): NamedPath[] {
   return [...text.matchAll(LINK)]
     .map(([, target = '']) => target.replace(/#.*$/, ''))
@@ -42,7 +42,7 @@
   ])
 }
 
-/** Paths in comments, in the whole line of a block or after two slashes. */
+/** Finds paths in block and line comments. */
 function pathsOfCode (text: string): NamedPath[] {
   let isInBlock = false
   return text.split('\n').flatMap((content, index) => {
@@ -55,12 +55,11 @@
 }
 
 /**
- * Lists what a text names and is not there.
+ * Finds paths in a text that don't exist.
  *
- * @param file - the text's path from the root
- * @param text - its content
- * @param exists - whether a path from the root exists
- * @returns file, line and path of each
+ * @param file - path of the text, relative to the root
+ * @param exists - checks whether a path relative to the root exists
+ * @returns `file:line: path` for each missing path
  */
 function missingPaths (file: string, text: string, exists: (path: string) => boolean): string[] {
   const named = file.endsWith('.md') ? pathsOfPage(text) : pathsOfCode(text)
@@ -83,7 +82,7 @@
   const there = new Set(['src/core/random.ts', 'docs/DESIGN.md', 'docs/design/layout.md', 'test/'])
   const exists = (path: string): boolean => there.has(path)
 
-  it('are found in backquotes and links of a page, with its line', () => {
+  it('are found in backquotes and links of a page, with their lines', () => {
     const page = [
       'See `src/core/random.ts`, `src/core/gone.ts` and [design](../DESIGN.md#sessions).',
       '[gone](gone.md), [elsewhere](https://example.org/docs/x), [here](#there), `tsx test/gone.ts 3`'
@@ -95,7 +94,7 @@
     ])
   })
 
-  it('are found in comments, and not in the code beside them', () => {
+  it('are found in comments but not in code', () => {
     const code = [
       '/**',
       ' * Described in docs/DESIGN.md, docs/GONE.md.',
