--- a/src/mysql-proxy/callers/caller-session.ts
+++ b/src/mysql-proxy/callers/caller-session.ts
@@ -1,6 +1,6 @@
 /** The handler of one caller's connection: it classes each statement and has it handled. */
 import type { Group } from '../../core/config/index.ts'
-import type { ClientHandler, ClientHello } from '../../mysql/client-handler.ts'
+import type { ClientHandler, AuthenticatedClient } from '../../mysql/client-handler.ts'
 import type { HomeRequests } from '../routing/home-requests.ts'
 import type { SessionTokens } from '../sessions/session-token.ts'
 import { buildRequestBase, selectCallerDatabase, type Caller } from './caller.ts'
@@ -13,7 +13,7 @@
 /** Options of {@link createCallerSession}. */
 interface CallerSessionOptions {
   host: string
-  client: ClientHello
+  client: AuthenticatedClient
   tokens: SessionTokens
   requests: HomeRequests
   /** Returns a group in force. */
--- a/src/mysql-proxy/callers/index.ts
+++ b/src/mysql-proxy/callers/index.ts
@@ -7,7 +7,7 @@
 import { registerPlugin } from '../../core/kernel/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import { MYSQL_ERROR } from '../../mysql/consts.ts'
-import type { ClientHello, Refusal } from '../../mysql/client-handler.ts'
+import type { AuthenticatedClient, Refusal } from '../../mysql/client-handler.ts'
 import { listenMysql } from '../../mysql/server.ts'
 import type { Answer } from '../../mysql/types.ts'
 import type { Metrics } from '../../metrics/index.ts'
@@ -34,7 +34,7 @@
 /** A caller that is connected. */
 interface ConnectedCaller {
   session: CallerSession
-  client: ClientHello
+  client: AuthenticatedClient
 }
 
 registerPlugin({
--- a/src/mysql/client-handler.ts
+++ b/src/mysql/client-handler.ts
@@ -20,7 +20,7 @@
 }
 
 /** A client that has authenticated itself. */
-export interface ClientHello {
+export interface AuthenticatedClient {
   connectionId: number
   user: string
   database: string
@@ -50,7 +50,7 @@
    */
   admit?: (onClose: (listener: () => void) => void) => Promise<Refusal | undefined>
   /** Creates the handler of an authenticated client. */
-  serve: (client: ClientHello) => ClientHandler | Promise<ClientHandler>
+  serve: (client: AuthenticatedClient) => ClientHandler | Promise<ClientHandler>
   /** Converts an error thrown by a handler into a MySQL error. */
   toRefusal: (thrown: unknown) => Refusal
 }
