--- a/src/cli/worksward/console-client.ts
+++ b/src/cli/worksward/console-client.ts
@@ -9,7 +9,7 @@
 }
 
 /** A row of an answer. */
-export type ShownRow = Record<string, string | number | boolean>
+export type ConsoleRow = Record<string, string | number | boolean>
 
 /** Number of retries when a call fails without a response; all calls are idempotent. */
 const MAXIMUM_RETRIES = 2
--- a/src/cli/worksward/format-table.ts
+++ b/src/cli/worksward/format-table.ts
@@ -1,5 +1,5 @@
 /** Formats rows as an aligned table. */
-import type { ShownRow } from './console-client.ts'
+import type { ConsoleRow } from './console-client.ts'
 
 const GAP = '  '
 
@@ -9,7 +9,7 @@
  * @param rows - rows with the same columns
  * @returns the table with a header line, or a note that there are no rows
  */
-export function formatTable (rows: ShownRow[]): string {
+export function formatTable (rows: ConsoleRow[]): string {
   const [first] = rows
   if (first === undefined) {
     return '(no rows)\n'
--- a/src/cli/worksward/index.ts
+++ b/src/cli/worksward/index.ts
@@ -10,7 +10,7 @@
 import { doubleSha1 } from '../../mysql/password.ts'
 import { hashOperatorKey } from '../../mysql-proxy/operators/authentication.ts'
 import { runProgram } from '../run-command.ts'
-import { callConsole, type ConsoleAccess, type ShownRow } from './console-client.ts'
+import { callConsole, type ConsoleAccess, type ConsoleRow } from './console-client.ts'
 import { formatTable } from './format-table.ts'
 import { runPrompt } from './prompt.ts'
 
@@ -78,7 +78,7 @@
   return { server, key: process.env['WORKSWARD_KEY'] ?? '' }
 }
 
-function format (rows: ShownRow[], { json }: AccessOptions): string {
+function format (rows: ConsoleRow[], { json }: AccessOptions): string {
   return json === true ? JSON.stringify(rows) + '\n' : formatTable(rows)
 }
 
@@ -97,7 +97,7 @@
 
 async function planFile (file: string, options: AccessOptions): Promise<void> {
   const declarations = loadFile(file, declarationsSchema)
-  const { rows } = await callConsole<{ rows: ShownRow[] }>(consoleAccess(options), '/plan', { declarations })
+  const { rows } = await callConsole<{ rows: ConsoleRow[] }>(consoleAccess(options), '/plan', { declarations })
   process.stdout.write(rows.length === 0 ? 'nothing would change\n' : format(rows, options))
 }
 
@@ -118,7 +118,7 @@
   const deadline = performance.now() + options.timeout * 1000
   const reported = new Set<string>()
   for (;;) {
-    const { rows } = await callConsole<{ rows: ShownRow[] }>(consoleAccess(options), '/progress', { revision })
+    const { rows } = await callConsole<{ rows: ConsoleRow[] }>(consoleAccess(options), '/progress', { revision })
     for (const { host, inForce } of rows) {
       if (inForce === true && !reported.has(String(host))) {
         reported.add(String(host))
@@ -144,7 +144,7 @@
 
 async function runText (text: string, options: AccessOptions): Promise<string> {
   parseCommand(text)
-  const { rows } = await callConsole<{ rows: ShownRow[] }>(consoleAccess(options), '/query', { query: text })
+  const { rows } = await callConsole<{ rows: ConsoleRow[] }>(consoleAccess(options), '/query', { query: text })
   return format(rows, options)
 }
 
--- a/test/mysql-proxy/operators/console.test.ts
+++ b/test/mysql-proxy/operators/console.test.ts
@@ -1,7 +1,7 @@
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
 import { randomUUID } from 'node:crypto'
-import { callConsole, type ShownRow } from '../../../src/cli/worksward/console-client.ts'
+import { callConsole, type ConsoleRow } from '../../../src/cli/worksward/console-client.ts'
 import { EMBEDDED_OPERATOR_KEY } from '../../../src/emulation/embedded/sizes.ts'
 import { GROUP, purchase, readRequests, startTestDeployment, until, type TestDeployment } from '../../fixtures/deployment.ts'
 
@@ -12,8 +12,8 @@
 
   const access = (proxy = 0, key = EMBEDDED_OPERATOR_KEY) =>
     ({ server: `127.0.0.1:${deployment.proxies[proxy]!.httpPort}`, key })
-  const query = async (text: string, proxy = 0): Promise<ShownRow[]> =>
-    (await callConsole<{ rows: ShownRow[] }>(access(proxy), '/query', { query: text })).rows
+  const query = async (text: string, proxy = 0): Promise<ConsoleRow[]> =>
+    (await callConsole<{ rows: ConsoleRow[] }>(access(proxy), '/query', { query: text })).rows
   const inForceEverywhere = async (revision: number): Promise<void> => await until(() =>
     [...deployment.proxies, ...deployment.keepers].every(({ kernel }) => kernel.use('configuration').revision >= revision))
 
@@ -74,7 +74,7 @@
   it('plans and applies declarations, and applies the same ones only once', async () => {
     const declarations = structuredClone(deployment.declarations)
     declarations.groups[GROUP]!.limits.queue = 99
-    const { rows } = await callConsole<{ rows: ShownRow[] }>(access(), '/plan', { declarations })
+    const { rows } = await callConsole<{ rows: ConsoleRow[] }>(access(), '/plan', { declarations })
     expect(rows.map(({ path, after }) => [path, after])).toEqual([[`${GROUP}.limits.queue`, '99']])
     const apply = async () => await callConsole<{ groups: string[] }>(
       access(1), '/apply', { declarations, changeId: randomUUID(), reason: '' })
