--- a/test/explain/request-trace.test.ts
+++ b/test/explain/request-trace.test.ts
@@ -27,7 +27,7 @@
 const entries = log.flatMap((text) => parseLogLine(text) ?? [])
 
 describe('traceRequest', () => {
-  it('parses the output of the logger, with or without a prefix', () => {
+  it('parses the output of the logger after a prefix', () => {
     const entry = parseLogLine('  5.39 front-1 ' + line(0, 'h1', 'request.failed', { id: 'r', reason: 'a "b" c' }))
     expect(entry?.fields).toEqual({ id: 'r', reason: 'a "b" c' })
     expect(entry?.host).toEqual('h1')
