--- a/src/core/kernel/index.ts
+++ b/src/core/kernel/index.ts
@@ -2,7 +2,7 @@
  * The kernel: starts the plug-ins of a process in the order their needs demand, and closes them in the
  * reverse order. Plug-ins register themselves when their module is imported.
  */
-import { formatPairs, type Logger } from '../logger/index.ts'
+import { formatFields, type Logger } from '../logger/index.ts'
 import type { Dialer } from '../wire/dialer.ts'
 
 /**
@@ -50,7 +50,7 @@
 /** A plug-in: a named part of a process. */
 interface Plugin<Name extends PluginName = PluginName> {
   name: Name
-  needs: PluginName[]
+  dependencies: PluginName[]
   start: (context: PluginContext) => Promise<RunningPlugin<Services[Name]>> | RunningPlugin<Services[Name]>
 }
 
@@ -138,10 +138,10 @@
   const visit = (name: PluginName, path: string[]): void => {
     const plugin = registry.get(name)
     if (plugin === undefined || path.includes(name)) {
-      throw new Error(`cannot start plug-ins: ${formatPairs({ name, path: path.join('>'), known: plugin !== undefined })}`)
+      throw new Error(`cannot start plug-ins: ${formatFields({ name, path: path.join('>'), known: plugin !== undefined })}`)
     }
     if (!sorted.includes(plugin)) {
-      plugin.needs.forEach((need) => visit(need, [...path, name]))
+      plugin.dependencies.forEach((need) => visit(need, [...path, name]))
       sorted.push(plugin)
     }
   }
--- a/src/core/logger/index.ts
+++ b/src/core/logger/index.ts
@@ -56,7 +56,7 @@
         return
       }
       const pairs = { time: new Date().toISOString(), level, event, ...options.fields, ...fields }
-      backend.log(level, formatPairs(pairs))
+      backend.log(level, formatFields(pairs))
     }
   }
 }
@@ -70,7 +70,7 @@
  * @param fields - the pairs; undefined values are left out
  * @returns `key=value key="value with spaces"`
  */
-export function formatPairs (fields: LogFields): string {
+export function formatFields (fields: LogFields): string {
   return Object.entries(fields)
     .filter(([, value]) => value !== undefined)
     .map(([key, value]) => `${key}=${formatValue(String(value))}`)
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -7,7 +7,7 @@
  * @param count - how many to choose; all when there are no more
  * @returns the chosen ones, in random order
  */
-export function chooseSome<Item> (items: Item[], count: number): Item[] {
+export function sampleItems<Item> (items: Item[], count: number): Item[] {
   const left = [...items]
   const chosen: Item[] = []
   while (chosen.length < count && left.length > 0) {
--- a/src/core/time/bounded-wait.ts
+++ b/src/core/time/bounded-wait.ts
@@ -19,9 +19,9 @@
 export interface BoundedWait<Value> {
   /** Settles when the wait is over. */
   readonly result: Promise<Value>
-  readonly isOver: boolean
+  readonly isSettled: boolean
   /** Ends the wait with a value. */
-  serve: (value: Value) => void
+  resolve: (value: Value) => void
   /** Ends the wait with an error. */
   reject: (error: Error) => void
 }
@@ -50,8 +50,8 @@
   })
   return {
     result,
-    get isOver () { return isOver },
-    serve: (value) => finish()?.resolve(value),
+    get isSettled () { return isOver },
+    resolve: (value) => finish()?.resolve(value),
     reject: (error) => finish()?.reject(error)
   }
 }
--- a/src/core/time/deadline.ts
+++ b/src/core/time/deadline.ts
@@ -56,7 +56,7 @@
    * @throws RequestError `DeadlineExceeded`, or what `pending` rejects with
    */
   async race<Result> (pending: Promise<Result>, verdict: Verdict, stage: string): Promise<Result> {
-    const value = await within(pending, this.leftMs)
+    const value = await withTimeout(pending, this.leftMs)
     if (value === TIMED_OUT) {
       throw this.exceeded(verdict, stage)
     }
@@ -64,7 +64,7 @@
   }
 }
 
-/** Returned by {@link within} when time ran out. */
+/** Returned by {@link withTimeout} when time ran out. */
 export const TIMED_OUT = Symbol('timed out')
 
 /**
@@ -74,7 +74,9 @@
  * @param timeoutMs - greatest wait, in milliseconds
  * @returns the result, or {@link TIMED_OUT}
  */
-export async function within<Result> (pending: Promise<Result>, timeoutMs: number): Promise<Result | typeof TIMED_OUT> {
+export async function withTimeout<Result> (
+  pending: Promise<Result>, timeoutMs: number
+): Promise<Result | typeof TIMED_OUT> {
   let timer: NodeJS.Timeout | undefined
   const timeout = new Promise<typeof TIMED_OUT>((resolve) => {
     timer = setTimeout(() => resolve(TIMED_OUT), timeoutMs)
--- a/src/entry/desired-state/index.ts
+++ b/src/entry/desired-state/index.ts
@@ -38,7 +38,7 @@
 
 registerPlugin({
   name: 'desiredState',
-  needs: ['ports', 'store', 'registry', 'tableNews', 'tableRelay'],
+  dependencies: ['ports', 'store', 'registry', 'tableNews', 'tableRelay'],
   start: (context) => {
     const { desiredState: port } = context.use('ports')
     const store = context.use('store')
--- a/src/entry/directory/index.ts
+++ b/src/entry/directory/index.ts
@@ -25,7 +25,7 @@
 
 registerPlugin({
   name: 'directory',
-  needs: ['ports', 'store', 'registry', 'tableNews', 'tableRelay'],
+  dependencies: ['ports', 'store', 'registry', 'tableNews', 'tableRelay'],
   start: (context) => {
     const { directory: port } = context.use('ports')
     const store = context.use('store')
--- a/src/entry/freshness/index.ts
+++ b/src/entry/freshness/index.ts
@@ -14,7 +14,7 @@
 
 registerPlugin({
   name: 'freshness',
-  needs: ['registry', 'peers'],
+  dependencies: ['registry', 'peers'],
   start: ({ use, logger }) => {
     const groups = new Map<string, GroupFreshness>()
     const of = (name: string): GroupFreshness => {
--- a/src/entry/freshness/peers-asked.ts
+++ b/src/entry/freshness/peers-asked.ts
@@ -6,7 +6,7 @@
  * others. Why: a home nearly always has a proof or can make one; others reach what a partition takes away from the
  * homes.
  */
-import { chooseSome } from '../../core/random.ts'
+import { sampleItems } from '../../core/random.ts'
 import type { KnownHost } from '../registry/index.ts'
 
 /**
@@ -34,7 +34,7 @@
 export function choosePeersAsked (homes: KnownHost[], peers: KnownHost[], self: string): PeersAsked {
   const isHome = new Set(homes.map(({ name }) => name))
   const others = peers.filter(({ name }) => !isHome.has(name))
-  const otherHomes = chooseSome(homes.filter(({ name }) => name !== self), homes.length)
-  const asked = [...otherHomes, ...chooseSome(others, PEERS_ASKED)].slice(0, Math.max(PEERS_ASKED, otherHomes.length))
+  const otherHomes = sampleItems(homes.filter(({ name }) => name !== self), homes.length)
+  const asked = [...otherHomes, ...sampleItems(others, PEERS_ASKED)].slice(0, Math.max(PEERS_ASKED, otherHomes.length))
   return { first: asked.slice(0, ASKED_FIRST), rest: asked.slice(ASKED_FIRST) }
 }
--- a/src/entry/freshness/proof-exchange.ts
+++ b/src/entry/freshness/proof-exchange.ts
@@ -25,7 +25,7 @@
 /** Options of {@link createProofExchange}. */
 interface ProofExchangeOptions {
   registry: Pick<Registry, 'peers' | 'self'>
-  peers: Pick<Peers, 'ask' | 'handle'>
+  peers: Pick<Peers, 'requestOrDisconnect' | 'handle'>
   logger: Logger
   of: (group: string) => GroupFreshness
 }
@@ -79,7 +79,7 @@
     // The reply is made after this moment, so counting ages from here takes no proof for younger than it is.
     const askedAt = performance.now()
     try {
-      const { epoch, proofs } = proofReplySchema.parse(await peers.ask(
+      const { epoch, proofs } = proofReplySchema.parse(await peers.requestOrDisconnect(
         peer, 'freshness-proofs', { group, ageMs: askedAt - since }, ANSWER_MS))
       proofs.forEach(({ position, ageMs }) => of(group).record(epoch, askedAt - ageMs, position))
     } catch (thrown) {
--- a/src/entry/homes/home-watch.ts
+++ b/src/entry/homes/home-watch.ts
@@ -13,7 +13,7 @@
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
-import { TIMED_OUT, within } from '../../core/time/deadline.ts'
+import { TIMED_OUT, withTimeout } from '../../core/time/deadline.ts'
 import type { Peers } from '../../peers/index.ts'
 import type { KnownHost } from '../registry/index.ts'
 import type { HomeChoice } from './home-choice.ts'
@@ -105,7 +105,7 @@
     }
   }
   const answersSoon = async (home: KnownHost, answer: Promise<boolean>): Promise<boolean> => {
-    const inTime = await within(answer, PROBE_ANSWER_MS)
+    const inTime = await withTimeout(answer, PROBE_ANSWER_MS)
     if (inTime === TIMED_OUT) {
       recordSilence(home)
       const silentMs = Math.round(performance.now() - choice.lastAnswerAt(home))
--- a/src/entry/homes/index.ts
+++ b/src/entry/homes/index.ts
@@ -78,15 +78,15 @@
 
 registerPlugin({
   name: 'homes',
-  needs: ['registry', 'directory', 'desiredState', 'peers', 'metrics'],
+  dependencies: ['registry', 'directory', 'desiredState', 'peers', 'metrics'],
   start: ({ use, logger }) => {
     const directory = use('directory')
     const registry = use('registry')
     const { work: links, handle } = use('peers')
     const metrics = use('metrics')
     const choice = createHomeChoice()
-    const count = metrics.count('worksward_passed_on', 'Statements passed on to homes, by outcome')
-    const time = metrics.time('worksward_passed_on_milliseconds', 'Time of statements passed on to homes')
+    const count = metrics.registerCounter('worksward_passed_on', 'Statements passed on to homes, by outcome')
+    const time = metrics.registerTiming('worksward_passed_on_milliseconds', 'Time of statements passed on to homes')
     const { of, isHome, others } = createUpstreamHomes({
       registry, desiredState: use('desiredState'), directory
     })
--- a/src/entry/leadership/act-on-need.ts
+++ b/src/entry/leadership/act-on-need.ts
@@ -35,7 +35,7 @@
   const pools = context.use('pools')
   const peers = context.use('peers')
   const freshness = context.use('freshness')
-  const count = context.use('metrics').count('worksward_successions', 'Successions run here, by reason and outcome')
+  const count = context.use('metrics').registerCounter('worksward_successions', 'Successions run here, by reason and outcome')
   const promotionLease = createPromotionLease({ registry, peers, logger })
   const reach = createReachQuestions({ registry, directory, pools, homes: context.use('homes'), peers, logger })
 
--- a/src/entry/leadership/close-epoch.ts
+++ b/src/entry/leadership/close-epoch.ts
@@ -7,7 +7,7 @@
 import type { Logger } from '../../core/logger/index.ts'
 import { pause } from '../../core/time/deadline.ts'
 import type { Peers } from '../../peers/index.ts'
-import { isRefusal } from '../../peers/refusal.ts'
+import { isConnectionRefused } from '../../peers/refusal.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
 import { REACH_HOST_MS } from './probe-times.ts'
 import { areFewSilent, silentLeasesExpireAt, type ClosingProgress } from './silent-leases.ts'
@@ -73,10 +73,10 @@
       return 'lease-expired'
     }
     try {
-      await peers.ask(host, 'close-group', { group, epoch }, REACH_HOST_MS)
+      await peers.requestOrDisconnect(host, 'close-group', { group, epoch }, REACH_HOST_MS)
       return 'acknowledged'
     } catch (thrown) {
-      if (isRefusal(thrown)) {
+      if (isConnectionRefused(thrown)) {
         return 'not-running'
       }
       logger.log('debug', 'leadership.host-silent', { group, epoch, peer: host.name, reason: describeThrown(thrown) })
--- a/src/entry/leadership/extensions.ts
+++ b/src/entry/leadership/extensions.ts
@@ -35,7 +35,7 @@
 /** Options of {@link createExtensions}. */
 interface ExtensionOptions {
   registry: Pick<Registry, 'self' | 'current' | 'peers' | 'confirmedAgeMs'>
-  peers: Pick<Peers, 'ask' | 'handle'>
+  peers: Pick<Peers, 'requestOrDisconnect' | 'handle'>
   primaryLeases: Pick<PrimaryLeases, 'close' | 'closed' | 'extend'>
   logger: Logger
 }
@@ -57,7 +57,7 @@
   const ask = async (peer: KnownHost): Promise<boolean> => {
     try {
       const question = { host: registry.self.name, process: registry.self.process }
-      const { granted, closed } = grantSchema.parse(await peers.ask(peer, 'extend', question, GRANT_MS))
+      const { granted, closed } = grantSchema.parse(await peers.requestOrDisconnect(peer, 'extend', question, GRANT_MS))
       closed.forEach(({ group, epoch }) => primaryLeases.close(group, epoch))
       return granted
     } catch (thrown) {
--- a/src/entry/leadership/index.ts
+++ b/src/entry/leadership/index.ts
@@ -36,7 +36,7 @@
 
 registerPlugin({
   name: 'leadership',
-  needs: ['ports', 'registry', 'directory', 'pools', 'homes', 'peers', 'desiredState', 'freshness', 'metrics'],
+  dependencies: ['ports', 'registry', 'directory', 'pools', 'homes', 'peers', 'desiredState', 'freshness', 'metrics'],
   start: (context) => {
     const { logger } = context
     const registry = context.use('registry')
@@ -56,7 +56,7 @@
       registry, directory, pools, homes: context.use('homes'), logger, act: createAction(context, closeHere)
     })
     const groups = (): string[] => [...desiredState.current?.connectionCaps.keys() ?? []]
-    context.use('metrics').expose('worksward_confirmed_age_milliseconds', 'Age of the confirmation by the store', () =>
+    context.use('metrics').registerGauge('worksward_confirmed_age_milliseconds', 'Age of the confirmation by the store', () =>
       ({ age: Number.isFinite(registry.confirmedAgeMs()) ? registry.confirmedAgeMs() : -1 }))
 
     peers.handle('close-group', async (body) => {
--- a/src/entry/leadership/promotion-lease.ts
+++ b/src/entry/leadership/promotion-lease.ts
@@ -10,7 +10,7 @@
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import type { Peers } from '../../peers/index.ts'
-import { isRefusal } from '../../peers/refusal.ts'
+import { isConnectionRefused } from '../../peers/refusal.ts'
 import { registryKeys, type PromotionLeaseRow, type Registry } from '../registry/index.ts'
 import { REACH_HOST_MS } from './probe-times.ts'
 
@@ -29,7 +29,7 @@
 /** Options of {@link createPromotionLease}. */
 interface PromotionLeaseOptions {
   registry: Registry
-  peers: Pick<Peers, 'ask'>
+  peers: Pick<Peers, 'requestOrDisconnect'>
   logger: Logger
 }
 
@@ -101,10 +101,10 @@
     return true
   }
   try {
-    await peers.ask(row, 'neighbour', {}, REACH_HOST_MS)
+    await peers.requestOrDisconnect(row, 'neighbour', {}, REACH_HOST_MS)
     return false
   } catch (thrown) {
-    return isRefusal(thrown)
+    return isConnectionRefused(thrown)
   }
 }
 
--- a/src/entry/leadership/reach-questions.ts
+++ b/src/entry/leadership/reach-questions.ts
@@ -2,11 +2,11 @@
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import type { Directory } from '../directory/index.ts'
-import { chooseSome } from '../../core/random.ts'
+import { sampleItems } from '../../core/random.ts'
 import type { Homes } from '../homes/index.ts'
 import type { Peers } from '../../peers/index.ts'
 import type { Pools } from '../pools/index.ts'
-import { isRefusal } from '../../peers/refusal.ts'
+import { isConnectionRefused } from '../../peers/refusal.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
 import { PROBE_MS } from './probe-times.ts'
 import { countReach, isLostToMost, type ReachAnswer } from './reach.ts'
@@ -28,7 +28,7 @@
   directory: Pick<Directory, 'get'>
   pools: Pick<Pools, 'of' | 'probe'>
   homes: Pick<Homes, 'of'>
-  peers: Pick<Peers, 'ask' | 'handle'>
+  peers: Pick<Peers, 'requestOrDisconnect' | 'handle'>
   logger: Logger
 }
 
@@ -57,11 +57,11 @@
   }
   const askPeer = async (peer: KnownHost, upstream: string): Promise<ReachAnswer> => {
     try {
-      const { reached } = reachAnswerSchema.parse(await peers.ask(peer, 'reach', { upstream }, REACH_MS))
+      const { reached } = reachAnswerSchema.parse(await peers.requestOrDisconnect(peer, 'reach', { upstream }, REACH_MS))
       return reached ? 'reached' : 'lost'
     } catch (thrown) {
       logger.log('debug', 'leadership.peer-silent', { peer: peer.name, reason: describeThrown(thrown) })
-      return isRefusal(thrown) ? 'not-running' : 'silent'
+      return isConnectionRefused(thrown) ? 'not-running' : 'silent'
     }
   }
   peers.handle('reach', async (body) => ({ reached: await reaches(reachQuestionSchema.parse(body).upstream) }))
@@ -74,7 +74,7 @@
     const isHome = (peer: KnownHost): boolean => homeNames.has(peer.name)
     const first = known.filter(isHome)
     const others = known.filter((peer) => !isHome(peer))
-    return [...first, ...chooseSome(others, Math.max(0, REACH_ASKED - first.length))]
+    return [...first, ...sampleItems(others, Math.max(0, REACH_ASKED - first.length))]
   }
 
   return {
--- a/src/entry/limits/index.ts
+++ b/src/entry/limits/index.ts
@@ -38,7 +38,7 @@
 
 registerPlugin({
   name: 'limits',
-  needs: ['registry', 'homes', 'peers', 'desiredState', 'metrics'],
+  dependencies: ['registry', 'homes', 'peers', 'desiredState', 'metrics'],
   start: (context) => {
     const { use, logger } = context
     const registry = use('registry')
@@ -46,7 +46,7 @@
     const { work: links, handle } = use('peers')
     const desiredState = use('desiredState')
     const metrics = use('metrics')
-    const count = metrics.count('worksward_limit_questions', 'Questions to hosts that keep limits, by outcome')
+    const count = metrics.registerCounter('worksward_limit_questions', 'Questions to hosts that keep limits, by outcome')
     const version = (): number => desiredState.current?.version ?? -1
     const limitOf = (organisation: string): OperationLimit | undefined =>
       desiredState.current?.organisations.get(organisation)?.limit
@@ -70,7 +70,7 @@
       requesters.record(link.host)
       return await answerLimitQuestion(body, { grantHere, version, reach: desiredState.reach })
     })
-    metrics.expose(
+    metrics.registerGauge(
       'worksward_limit_granted', 'Operations granted by this host as the one that keeps limits',
       () => grantedByOrganisation(owner.owned()))
 
--- a/src/entry/pools/connection-waiters.ts
+++ b/src/entry/pools/connection-waiters.ts
@@ -71,7 +71,7 @@
         const lease = takeLease(waiter.request)
         if (lease !== undefined) {
           remove(waiter)
-          waiter.wait.serve(lease)
+          waiter.wait.resolve(lease)
         }
       }
     },
--- a/src/entry/pools/index.ts
+++ b/src/entry/pools/index.ts
@@ -22,7 +22,7 @@
 
 registerPlugin({
   name: 'pools',
-  needs: ['ports', 'directory', 'desiredState', 'homes'],
+  dependencies: ['ports', 'directory', 'desiredState', 'homes'],
   start: ({ use, logger }) => {
     const { upstreams: port } = use('ports')
     const desiredState = use('desiredState')
--- a/src/entry/pools/statement-queue.ts
+++ b/src/entry/pools/statement-queue.ts
@@ -104,11 +104,11 @@
       }
     })
     void queue.add(async () => {
-      if (turn.isOver) {
+      if (turn.isSettled) {
         return
       }
       waiting.delete(own)
-      await new Promise<void>((_resolve) => turn.serve(_resolve))
+      await new Promise<void>((_resolve) => turn.resolve(_resolve))
     }, { priority: -own.rank })
     return await turn.result
   }
--- a/src/entry/pools/upstream-questions.ts
+++ b/src/entry/pools/upstream-questions.ts
@@ -4,7 +4,7 @@
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
-import { TIMED_OUT, within } from '../../core/time/deadline.ts'
+import { TIMED_OUT, withTimeout } from '../../core/time/deadline.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import { faultOf } from './connection-opener.ts'
 import type { UpstreamConnection, UpstreamPort, UpstreamReport } from '../ports/index.ts'
@@ -61,7 +61,7 @@
   try {
     const connection = await port.open({ group, upstream, endpoint }, { organisation: '', timeoutMs })
     try {
-      const report = await within(question(connection), timeoutMs)
+      const report = await withTimeout(question(connection), timeoutMs)
       if (report === TIMED_OUT) {
         health.failed('silent')
         return undefined
--- a/src/entry/readiness/index.ts
+++ b/src/entry/readiness/index.ts
@@ -17,7 +17,7 @@
 
 registerPlugin({
   name: 'readiness',
-  needs: ['desiredState', 'entry', 'metrics', 'directory'],
+  dependencies: ['desiredState', 'entry', 'metrics', 'directory'],
   start: async (context) => {
     const { listen, host } = context.settings as EntrySettings
     const desiredState = context.use('desiredState')
--- a/src/entry/registry/change-notifications.ts
+++ b/src/entry/registry/change-notifications.ts
@@ -6,7 +6,7 @@
 import * as z from 'zod'
 import { describeThrown } from '../../core/errors/index.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
-import { chooseSome } from '../../core/random.ts'
+import { sampleItems } from '../../core/random.ts'
 import { pause } from '../../core/time/deadline.ts'
 import { followersOf } from './readers.ts'
 import type { KnownHost } from './snapshot.ts'
@@ -45,7 +45,7 @@
 
 registerPlugin({
   name: 'tableNews',
-  needs: ['registry', 'peers'],
+  dependencies: ['registry', 'peers'],
   start: (context) => {
     const registry = context.use('registry')
     const peers = context.use('peers')
@@ -66,7 +66,7 @@
       const notification = { table, version, host: registry.self.name }
       for (let tries = 1; tries <= NOTIFY_TRIES; tries++) {
         try {
-          await peers.ask(peer, 'table-news', notification, NOTIFY_MS)
+          await peers.requestOrDisconnect(peer, 'table-news', notification, NOTIFY_MS)
           return
         } catch (thrown) {
           logger.log('debug', 'registry.peer-silent', { peer: peer.name, reason: describeThrown(thrown) })
@@ -78,7 +78,7 @@
       pending.delete(table)
       const behind = followersOf(registry.current.liveHosts)
         .filter(({ name }) => name !== registry.self.name && knownAt(table, name) < version)
-      await Promise.all(chooseSome(behind, FANOUT).map(async (peer) => await notifyPeer(peer, table, version)))
+      await Promise.all(sampleItems(behind, FANOUT).map(async (peer) => await notifyPeer(peer, table, version)))
     }
     peers.handle('table-news', async (body) => {
       const { table, version, host } = notificationSchema.parse(body)
--- a/src/entry/registry/host-expiry.ts
+++ b/src/entry/registry/host-expiry.ts
@@ -13,7 +13,7 @@
 import type { Logger } from '../../core/logger/index.ts'
 import { repeat } from '../../core/time/repeat.ts'
 import type { Peers } from '../../peers/index.ts'
-import { isRefusal } from '../../peers/refusal.ts'
+import { isConnectionRefused } from '../../peers/refusal.ts'
 import type { Registry } from './service.ts'
 import type { KnownHost } from './snapshot.ts'
 import { hostRowSchema, registryKeys, RETIRED_PROCESS, type HostRow } from './types.ts'
@@ -28,7 +28,7 @@
 /** Options of {@link watchNextHost}. */
 interface HostExpiryOptions {
   registry: Pick<Registry, 'self' | 'current' | 'peers' | 'write' | 'storeNowAtLeastMs' | 'storeNowAtMostMs'>
-  peers: Pick<Peers, 'ask' | 'handle'>
+  peers: Pick<Peers, 'requestOrDisconnect' | 'handle'>
   logger: Logger
   /** Time for which a silent host may still work at primaries, in milliseconds. */
   leaseMs: number
@@ -66,13 +66,13 @@
     }
     const since = silent?.name === host.name && silent.process === host.process ? silent.since : performance.now()
     try {
-      await peers.ask(host, 'neighbour', {}, ANSWER_MS)
+      await peers.requestOrDisconnect(host, 'neighbour', {}, ANSWER_MS)
       silent = undefined
     } catch (thrown) {
       silent = { name: host.name, process: host.process, since }
       logger.log('debug', 'registry.peer-silent', { peer: host.name, reason: describeThrown(thrown) })
       if (performance.now() - since > SILENT_MS) {
-        await retire(host, isRefusal(thrown))
+        await retire(host, isConnectionRefused(thrown))
       }
     }
   }
--- a/src/entry/registry/index.ts
+++ b/src/entry/registry/index.ts
@@ -33,7 +33,7 @@
 
 registerPlugin({
   name: 'registry',
-  needs: ['store', 'peers'],
+  dependencies: ['store', 'peers'],
   start: (context) => {
     const { host } = context.settings as EntrySettings
     const store = context.use('store')
--- a/src/entry/registry/nudges.ts
+++ b/src/entry/registry/nudges.ts
@@ -15,7 +15,7 @@
 /** Options of {@link createNudges}. */
 interface NudgeOptions {
   self: { name: string }
-  peers: Pick<Peers, 'ask' | 'handle'>
+  peers: Pick<Peers, 'requestOrDisconnect' | 'handle'>
   state: Pick<RegistryState, 'current'>
   exchange: Pick<SnapshotExchange, 'askWriter'>
   /** Reads the table from the store. */
@@ -44,7 +44,7 @@
     // Followers wait for changes on behalf of all: the start of 195 hosts took 7,372 nudges to all, and 390 to these.
     const nudged = followersOf(state.current.liveHosts).filter(({ name }) => name !== self.name)
     nudged.forEach((peer) => {
-      peers.ask(peer, 'registry-nudge', {}, NUDGE_MS).catch((thrown: unknown) =>
+      peers.requestOrDisconnect(peer, 'registry-nudge', {}, NUDGE_MS).catch((thrown: unknown) =>
         logger.log('debug', 'registry.peer-silent', { peer: peer.name, reason: describeThrown(thrown) }))
     })
   }
--- a/src/entry/registry/own-row.ts
+++ b/src/entry/registry/own-row.ts
@@ -4,7 +4,7 @@
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
-import { within } from '../../core/time/deadline.ts'
+import { withTimeout } from '../../core/time/deadline.ts'
 import type { StorePort } from '../ports/index.ts'
 import type { RegistryState } from './registry-state.ts'
 import type { RegistryStore } from './registry-store.ts'
@@ -92,7 +92,7 @@
         table: REGISTRY_TABLE, expected: [{ key, version: own.version }], put: [], remove: [key]
       }).catch((thrown: unknown) =>
         logger.log('warn', 'registry.unregister-failed', { reason: describeThrown(thrown) }))
-      await within(removing, UNREGISTER_MS)
+      await withTimeout(removing, UNREGISTER_MS)
     }
   }
 }
--- a/src/entry/registry/registry-store.ts
+++ b/src/entry/registry/registry-store.ts
@@ -4,7 +4,7 @@
  */
 import { describeThrown, WorkswardError } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
-import { TIMED_OUT, within } from '../../core/time/deadline.ts'
+import { TIMED_OUT, withTimeout } from '../../core/time/deadline.ts'
 import type { StorePort } from '../ports/index.ts'
 import type { RegistryState } from './registry-state.ts'
 import type { Registry } from './service.ts'
@@ -101,7 +101,7 @@
   }
   const write: Registry['write'] = async (transaction) => {
     const waitMs = writeTimeoutMs(readMs)
-    const applied = await within(store.write({ ...transaction, table: REGISTRY_TABLE }), waitMs)
+    const applied = await withTimeout(store.write({ ...transaction, table: REGISTRY_TABLE }), waitMs)
     if (applied === TIMED_OUT) {
       const reason = `no answer in ${Math.round(waitMs)} ms`
       throw new WorkswardError('PlatformUnavailable', { operation: 'write', reason })
--- a/src/entry/registry/snapshot-exchange.ts
+++ b/src/entry/registry/snapshot-exchange.ts
@@ -24,7 +24,7 @@
 
 /** Options of {@link createSnapshotExchange}. */
 interface SnapshotExchangeOptions {
-  peers: Pick<Peers, 'ask' | 'handle'>
+  peers: Pick<Peers, 'requestOrDisconnect' | 'handle'>
   logger: Logger
   current: () => RegistrySnapshot
   /** Whether this host reads the registry from the store, and gets it. */
@@ -107,7 +107,7 @@
     const askedAt = performance.now()
     const before = current()
     const askWith = async (question: z.infer<typeof snapshotQuestionSchema>): Promise<SnapshotReply> =>
-      snapshotReplySchema.parse(await peers.ask(peer, 'registry-snapshot', question, timeoutMs + holdMs))
+      snapshotReplySchema.parse(await peers.requestOrDisconnect(peer, 'registry-snapshot', question, timeoutMs + holdMs))
     try {
       const reply = await askWith({ digest: before.digest, version: before.version, holdMs })
       if (reply.version < before.version) {
--- a/src/entry/registry/table-exchange.ts
+++ b/src/entry/registry/table-exchange.ts
@@ -31,7 +31,7 @@
 
 registerPlugin({
   name: 'tableRelay',
-  needs: ['registry', 'peers'],
+  dependencies: ['registry', 'peers'],
   start: (context) => {
     const registry = context.use('registry')
     const peers = context.use('peers')
--- a/src/entry/registry/table-questions.ts
+++ b/src/entry/registry/table-questions.ts
@@ -26,7 +26,7 @@
 
 /** Options of {@link createTableQuestions}. */
 interface TableQuestionsOptions {
-  peers: Pick<Peers, 'request' | 'ask'>
+  peers: Pick<Peers, 'request' | 'requestOrDisconnect'>
   logger: Logger
   /** The other hosts that follow the tables, the one to ask first in front. */
   followers: () => KnownHost[]
@@ -66,7 +66,7 @@
   const send = async (host: KnownHost, question: TableQuestion, timeoutMs: number): Promise<unknown> =>
     question.after === undefined
       ? await peers.request(host, 'table-changes', question, timeoutMs)
-      : await peers.ask(host, 'table-changes', question, timeoutMs)
+      : await peers.requestOrDisconnect(host, 'table-changes', question, timeoutMs)
   const askOne = async (
     host: KnownHost, question: TableQuestion, timeoutMs: number
   ): Promise<TableAnswer | undefined> => {
--- a/src/entry/requests/index.ts
+++ b/src/entry/requests/index.ts
@@ -18,18 +18,18 @@
   interface Services { entry: Record<string, never> }
 }
 
-function createEntryMetrics (metrics: Pick<Metrics, 'time' | 'count'>): EntryMetrics {
+function createEntryMetrics (metrics: Pick<Metrics, 'registerTiming' | 'registerCounter'>): EntryMetrics {
   return {
-    request: metrics.time('worksward_entry_request_milliseconds', 'Time of requests, by type and outcome'),
-    queue: metrics.time('worksward_entry_queue_milliseconds', 'Time that requests waited for a connection'),
-    upstream: metrics.time('worksward_entry_upstream_milliseconds', 'Time of statements at upstreams, by outcome'),
-    retry: metrics.count('worksward_entry_retries', 'Statements that were sent again, by reason')
+    request: metrics.registerTiming('worksward_entry_request_milliseconds', 'Time of requests, by type and outcome'),
+    queue: metrics.registerTiming('worksward_entry_queue_milliseconds', 'Time that requests waited for a connection'),
+    upstream: metrics.registerTiming('worksward_entry_upstream_milliseconds', 'Time of statements at upstreams, by outcome'),
+    retry: metrics.registerCounter('worksward_entry_retries', 'Statements that were sent again, by reason')
   }
 }
 
 registerPlugin({
   name: 'entry',
-  needs: [
+  dependencies: [
     'ports', 'desiredState', 'directory', 'pools', 'homes', 'leadership', 'freshness', 'metrics', 'registry', 'peers',
     'limits'
   ],
@@ -54,7 +54,7 @@
       failureDomain: settings.host.failureDomain,
       get drainMs () { return settings.drainMs }
     }
-    metrics.expose('worksward_sessions', 'Sessions that are open', () => ({ open: sessions.size }))
+    metrics.registerGauge('worksward_sessions', 'Sessions that are open', () => ({ open: sessions.size }))
     entryContext.freshness.useProver(createPositionProver(entryContext).prove)
     const forwarded = serveForwarded({
       context: entryContext,
@@ -64,7 +64,7 @@
       idleMs: () => desiredState.current?.transactionIdleMs ?? DEFAULT_IDLE_MS,
       isLeaving: () => context.stopping.aborted
     })
-    metrics.expose('worksward_passed_transactions', 'Transactions that are open here for other hosts',
+    metrics.registerGauge('worksward_passed_transactions', 'Transactions that are open here for other hosts',
       () => ({ open: forwarded.size }))
     const listener = await callers.listen(parseEndpoint(settings.listen.callers), (link) => {
       const session = createSession({
--- a/src/entry/requests/local-executor.ts
+++ b/src/entry/requests/local-executor.ts
@@ -1,6 +1,6 @@
 /** Executes statements at an upstream on a leased connection of this host. */
 import { RequestError, toRequestError } from '../../core/errors/index.ts'
-import { TIMED_OUT, within } from '../../core/time/deadline.ts'
+import { TIMED_OUT, withTimeout } from '../../core/time/deadline.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import type { PrimaryLease } from '../leadership/index.ts'
 import type { ConnectionLease, UsedUpstream } from '../pools/index.ts'
@@ -93,7 +93,7 @@
 
 async function rollBackOn (lease: ConnectionLease): Promise<void> {
   try {
-    const answer = await within(lease.connection.run({ type: 'rollback' }), ROLLBACK_MS)
+    const answer = await withTimeout(lease.connection.run({ type: 'rollback' }), ROLLBACK_MS)
     const isDone = answer !== TIMED_OUT && answer.failure === undefined && answer.state === 'idle'
     isDone ? lease.release() : lease.discard()
   } catch {
--- a/src/entry/store/index.ts
+++ b/src/entry/store/index.ts
@@ -8,10 +8,10 @@
 
 registerPlugin({
   name: 'store',
-  needs: ['ports', 'metrics'],
+  dependencies: ['ports', 'metrics'],
   start: (context) => {
     const { store } = context.use('ports')
-    const record = context.use('metrics').time('worksward_store_milliseconds', 'Time of calls to the store, by outcome')
+    const record = context.use('metrics').registerTiming('worksward_store_milliseconds', 'Time of calls to the store, by outcome')
     const measure = async <Result>(operation: string, call: () => Promise<Result>): Promise<Result> => {
       const startedAt = performance.now()
       try {
--- a/src/metrics/index.ts
+++ b/src/metrics/index.ts
@@ -20,7 +20,7 @@
    * @param help - what it is
    * @param read - returns the numbers by label
    */
-  expose: (name: string, help: string, read: () => Record<string, number>) => void
+  registerGauge: (name: string, help: string, read: () => Record<string, number>) => void
   /**
    * Shows times by label, as quantiles and counts.
    *
@@ -28,7 +28,7 @@
    * @param help - what it is
    * @returns records the times
    */
-  time: (name: string, help: string) => Timing['record']
+  registerTiming: (name: string, help: string) => Timing['record']
   /**
    * Shows a counter by label.
    *
@@ -36,7 +36,7 @@
    * @param help - what it is
    * @returns counts one under a label
    */
-  count: (name: string, help: string) => (label: string) => void
+  registerCounter: (name: string, help: string) => (label: string) => void
 }
 
 declare module '../core/kernel/index.ts' {
@@ -48,14 +48,14 @@
 
 registerPlugin({
   name: 'metrics',
-  needs: [],
+  dependencies: [],
   start: () => {
     const registry = new Registry()
     const outcomes = new Map<string, number>()
     const histogram = createHistogram(2)
     const readRequestTimes = (): Record<string, number> => Object.fromEntries(readQuantiles(histogram))
 
-    const expose: Metrics['expose'] = (name, help, read) => {
+    const expose: Metrics['registerGauge'] = (name, help, read) => {
       const gauge = new Gauge({
         name,
         help,
@@ -67,12 +67,12 @@
         }
       })
     }
-    const time: Metrics['time'] = (name, help) => {
+    const time: Metrics['registerTiming'] = (name, help) => {
       const timing = createTiming()
       expose(name, help, timing.read)
       return timing.record
     }
-    const count: Metrics['count'] = (name, help) => {
+    const count: Metrics['registerCounter'] = (name, help) => {
       const counts = new Map<string, number>()
       expose(name, help, () => Object.fromEntries(counts))
       return (label) => {
@@ -86,9 +86,9 @@
     return {
       service: {
         registry,
-        expose,
-        time,
-        count,
+        registerGauge: expose,
+        registerTiming: time,
+        registerCounter: count,
         recordRequest: (outcome, durationMs) => {
           outcomes.set(outcome, (outcomes.get(outcome) ?? 0) + 1)
           recordTime(histogram, durationMs)
--- a/src/mysql-proxy/callers/index.ts
+++ b/src/mysql-proxy/callers/index.ts
@@ -39,15 +39,15 @@
 
 registerPlugin({
   name: 'callers',
-  needs: ['configuration', 'routing', 'membership', 'metrics'],
+  dependencies: ['configuration', 'routing', 'membership', 'metrics'],
   start: async (context) => {
     const settings = context.settings as ProxySettings
     const configuration = context.use('configuration')
     const requests = context.use('routing')
     const membership = context.use('membership')
     const metrics = context.use('metrics')
-    metrics.expose('worksward_callers', 'Callers that are connected', () => ({ connected: callers.size }))
-    metrics.expose('worksward_home_requests', 'Requests served as a home, by kind', () => ({ ...requests.counts() }))
+    metrics.registerGauge('worksward_callers', 'Callers that are connected', () => ({ connected: callers.size }))
+    metrics.registerGauge('worksward_home_requests', 'Requests served as a home, by kind', () => ({ ...requests.counts() }))
     const tokens = createSessionTokens(settings.peers.key)
     const callers = new Set<ConnectedCaller>()
     let stopping = false
--- a/src/mysql-proxy/configuration/index.ts
+++ b/src/mysql-proxy/configuration/index.ts
@@ -22,7 +22,7 @@
 
 registerPlugin({
   name: 'configuration',
-  needs: ['platform', 'peers', 'membership'],
+  dependencies: ['platform', 'peers', 'membership'],
   start: (context) => {
     const settings = context.settings as MemberSettings
     const { table, objects } = context.use('platform')
--- a/src/mysql-proxy/failover/fencing.ts
+++ b/src/mysql-proxy/failover/fencing.ts
@@ -2,7 +2,7 @@
  * Fences upstreams with a term: from then on they neither follow nor take writes below it. Relies on the upstreams,
  * each of which accepts a term once.
  */
-import { Deadline, within } from '../../core/time/deadline.ts'
+import { Deadline, withTimeout } from '../../core/time/deadline.ts'
 import { comparePositions } from '../../positions/position.ts'
 import type { GroupView } from '../upstreams/group-view.ts'
 import { logEnd } from '../upstreams/status.ts'
@@ -72,6 +72,6 @@
     })
     void Promise.allSettled(attempts).then(() => resolve())
   })
-  await within(enough, FENCE_TIMEOUT_MS)
+  await withTimeout(enough, FENCE_TIMEOUT_MS)
   return [...fenced]
 }
--- a/src/mysql-proxy/failover/index.ts
+++ b/src/mysql-proxy/failover/index.ts
@@ -25,7 +25,7 @@
 
 registerPlugin({
   name: 'failover',
-  needs: ['configuration', 'membership', 'peers'],
+  dependencies: ['configuration', 'membership', 'peers'],
   start: (context) => {
     const settings = context.settings as KeeperSettings
     const configuration = context.use('configuration')
--- a/src/mysql-proxy/membership/index.ts
+++ b/src/mysql-proxy/membership/index.ts
@@ -46,7 +46,7 @@
 
 registerPlugin({
   name: 'membership',
-  needs: ['peers', 'platform'],
+  dependencies: ['peers', 'platform'],
   start: (context) => {
     const settings = context.settings as MemberSettings
     const peers = context.use('peers')
--- a/src/mysql-proxy/operators/console.ts
+++ b/src/mysql-proxy/operators/console.ts
@@ -12,7 +12,7 @@
 
 registerPlugin({
   name: 'console',
-  needs: ['operators', 'configuration', 'membership', 'routing', 'callers', 'peers'],
+  dependencies: ['operators', 'configuration', 'membership', 'routing', 'callers', 'peers'],
   start: (context) => {
     const configuration = context.use('configuration')
     const membership = context.use('membership')
--- a/src/mysql-proxy/operators/index.ts
+++ b/src/mysql-proxy/operators/index.ts
@@ -44,7 +44,7 @@
 
 registerPlugin({
   name: 'operators',
-  needs: ['configuration', 'membership', 'metrics'],
+  dependencies: ['configuration', 'membership', 'metrics'],
   start: async (context) => {
     const settings = context.settings as MemberSettings
     const configuration = context.use('configuration')
--- a/src/mysql-proxy/routing/index.ts
+++ b/src/mysql-proxy/routing/index.ts
@@ -37,7 +37,7 @@
 
 registerPlugin({
   name: 'routing',
-  needs: ['configuration', 'membership', 'peers'],
+  dependencies: ['configuration', 'membership', 'peers'],
   start: (context) => {
     const settings = context.settings as ProxySettings
     const { name: host, failureDomain } = settings.host
--- a/src/mysql-proxy/storage/index.ts
+++ b/src/mysql-proxy/storage/index.ts
@@ -75,7 +75,7 @@
 
 registerPlugin({
   name: 'platform',
-  needs: [],
+  dependencies: [],
   start: ({ settings, dialer }) => {
     const connection = connectPlatform((settings as MemberSettings).platform, dialer)
     return { service: connection, close: connection.close }
--- a/src/peers/index.ts
+++ b/src/peers/index.ts
@@ -17,7 +17,7 @@
    * Sends a request like {@link Peers.request}, and breaks the link when no answer comes in time: after a partition a
    * connection may stay silent for many seconds while a new one works.
    */
-  ask: (endpoint: Endpoint, type: string, body: unknown, timeoutMs: number) => Promise<unknown>
+  requestOrDisconnect: (endpoint: Endpoint, type: string, body: unknown, timeoutMs: number) => Promise<unknown>
   /** Breaks the link to a peer; see {@link PeerClient.disconnect}. */
   disconnect: (endpoint: Endpoint) => void
   /**
@@ -44,7 +44,7 @@
 
 registerPlugin({
   name: 'peers',
-  needs: [],
+  dependencies: [],
   start: async (context) => {
     const settings = context.settings as MemberSettings
     const handlers = new Map<string, PeerHandler>()
@@ -61,7 +61,8 @@
       service: {
         port: server.port,
         request: client.request,
-        ask: async (endpoint, type, body, timeoutMs) => await askPeer(client, endpoint, type, body, timeoutMs),
+        requestOrDisconnect: async (endpoint, type, body, timeoutMs) =>
+          await askPeer(client, endpoint, type, body, timeoutMs),
         disconnect: client.disconnect,
         work,
         handle: (type, handler) => handlers.set(type, handler),
--- a/src/peers/peer-client.ts
+++ b/src/peers/peer-client.ts
@@ -1,7 +1,7 @@
 /** The asking side of peer links: one link to each peer, many requests at a time. */
 import type { Socket } from 'node:net'
 import { RequestError, type ErrorDetails, type ErrorName } from '../core/errors/index.ts'
-import { TIMED_OUT, within } from '../core/time/deadline.ts'
+import { TIMED_OUT, withTimeout } from '../core/time/deadline.ts'
 import { formatEndpoint, type Dialer, type Endpoint } from '../core/wire/dialer.ts'
 import { openLink, unavailable, type OpenLink } from './open-link.ts'
 import type { ReplyFrame } from './types.ts'
@@ -111,7 +111,7 @@
   }
 
   const waitForLink = async ({ opening }: KnownLink, name: string): Promise<OpenLink> => {
-    const link = await within(opening, linkWaitMs)
+    const link = await withTimeout(opening, linkWaitMs)
     if (link === TIMED_OUT) {
       throw unavailable(name, 'no answer to the connection attempt', 'not-run')
     }
--- a/src/peers/refusal.ts
+++ b/src/peers/refusal.ts
@@ -14,6 +14,6 @@
  * @param thrown - the failure
  * @returns whether the connection was refused
  */
-export function isRefusal (thrown: unknown): boolean {
+export function isConnectionRefused (thrown: unknown): boolean {
   return thrown instanceof PeerNotRunning
 }
--- a/test/core/bounded-wait.test.ts
+++ b/test/core/bounded-wait.test.ts
@@ -10,10 +10,10 @@
 
   it('ends when it is served, and leaves no timer', async () => {
     const wait = createBoundedWait<string>({ timeoutMs: 100, onTimeout: () => new Error('too late') })
-    wait.serve('first')
-    wait.serve('second')
+    wait.resolve('first')
+    wait.resolve('second')
     wait.reject(new Error('third'))
-    expect([await wait.result, wait.isOver, clock.countTimers()]).toEqual(['first', true, 0])
+    expect([await wait.result, wait.isSettled, clock.countTimers()]).toEqual(['first', true, 0])
   })
 
   it('is rejected when its time is over, after it was taken out of its queue', async () => {
@@ -27,9 +27,9 @@
     })
     const outcome = wait.result.catch((thrown: unknown) => (thrown as Error).message)
     await clock.tickAsync(99)
-    expect([wait.isOver, isQueued]).toEqual([false, true])
+    expect([wait.isSettled, isQueued]).toEqual([false, true])
     await clock.tickAsync(1)
-    wait.serve('late')
-    expect([await outcome, wait.isOver, isQueued]).toEqual(['too late', true, false])
+    wait.resolve('late')
+    expect([await outcome, wait.isSettled, isQueued]).toEqual(['too late', true, false])
   })
 })
--- a/test/core/config.test.ts
+++ b/test/core/config.test.ts
@@ -5,7 +5,7 @@
   declarationsSchema, entrySettingsSchema, keeperSettingsSchema, loadFile, parseContent, proxySettingsSchema,
   standinSettingsSchema
 } from '../../src/core/config/index.ts'
-import { formatPairs } from '../../src/core/logger/index.ts'
+import { formatFields } from '../../src/core/logger/index.ts'
 
 const SCHEMAS = {
   entry: entrySettingsSchema,
@@ -48,9 +48,9 @@
   })
 })
 
-describe('formatPairs', () => {
+describe('formatFields', () => {
   it('quotes what would be read wrongly', () => {
-    expect(formatPairs({ event: 'a.b', reason: 'two words', empty: '', gone: undefined, equals: 'a=b' }))
+    expect(formatFields({ event: 'a.b', reason: 'two words', empty: '', gone: undefined, equals: 'a=b' }))
       .toEqual('event=a.b reason="two words" empty="" equals="a=b"')
   })
 })
--- a/test/entry/leadership/promotion-lease.test.ts
+++ b/test/entry/leadership/promotion-lease.test.ts
@@ -30,7 +30,7 @@
         return true
       }
     }
-    const peers = { ask: async () => ({}) }
+    const peers = { requestOrDisconnect: async () => ({}) }
     return createPromotionLease({ registry: registry as unknown as Registry, peers, logger: silentLogger })
   }
 }
--- a/test/explain/story.test.ts
+++ b/test/explain/story.test.ts
@@ -1,13 +1,13 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
-import { formatPairs, type LogFields } from '../../src/core/logger/index.ts'
+import { formatFields, type LogFields } from '../../src/core/logger/index.ts'
 import { parseLogLine } from '../../src/explain/parse-log.ts'
 import { formatStory, tellStory } from '../../src/explain/story.ts'
 
 const START = Date.parse('2026-12-02T10:00:00Z')
 
 function line (atMs: number, host: string, event: string, fields: LogFields = {}): string {
-  return formatPairs({ time: new Date(START + atMs).toISOString(), level: 'info', event, host, ...fields })
+  return formatFields({ time: new Date(START + atMs).toISOString(), level: 'info', event, host, ...fields })
 }
 
 /** A failover seen by two hosts, of which the second one's clock is 5 s ahead. */
