--- a/src/core/logger/budget.ts
+++ b/src/core/logger/budget.ts
@@ -27,7 +27,7 @@
     periodEnds = now + PERIOD_MS
     for (const [event, { leftOut }] of budgets) {
       if (leftOut > 0) {
-        logger.log('warn', 'log.left-out', { of: event, lines: leftOut })
+        logger.log('warn', 'log.suppressed', { of: event, lines: leftOut })
       }
     }
     budgets.clear()
--- a/src/core/logger/events.ts
+++ b/src/core/logger/events.ts
@@ -58,7 +58,7 @@
   'leadership.watch-failed': { level: 'error', pairs: 'reason', when: 'checking the groups failed; they are checked again' },
   'limit.owner-failed': { level: 'info', pairs: 'organisation, peer, reason', when: 'the host that owns a limit has not answered; the next one is asked' },
   'log.dropped': { level: 'warn', pairs: 'lines', when: 'lines that were lost, since whoever reads standard output was too slow' },
-  'log.left-out': { level: 'warn', pairs: 'of, lines', when: 'lines of an event beyond its budget, which were not written' },
+  'log.suppressed': { level: 'warn', pairs: 'of, lines', when: 'lines of an event beyond its budget, which were not written' },
   'member.state': { level: 'info', pairs: 'peer, state, before', when: 'another process is live, suspect, leaving or gone' },
   'operator.promote': { level: 'info', pairs: 'group, upstream, operator', when: 'an operator asks for another primary' },
   'peer.link-error': { level: 'warn', pairs: 'peer, reason', when: 'a link broke, or garbage came' },
--- a/test/core/logger.test.ts
+++ b/test/core/logger.test.ts
@@ -23,7 +23,7 @@
     expect(countOf('request.failed') > countOf('request.done')).toEqual(true)
     clock.tick(1100)
     logger.log('info', 'process.stopped')
-    const leftOut = lines.find(([event, fields]) => event === 'log.left-out' && fields?.['of'] === 'request.done')
+    const leftOut = lines.find(([event, fields]) => event === 'log.suppressed' && fields?.['of'] === 'request.done')
     expect(leftOut?.[1]?.['lines']).toEqual(1000 - countOf('request.done'))
   })
 })
