--- a/src/core/config/declarations.ts
+++ b/src/core/config/declarations.ts
@@ -1,6 +1,6 @@
 /**
- * What operators declare: database groups, their upstreams, the services that use them and the request
- * kinds each service may send. One schema with defaults; every type is inferred from it.
+ * Schema of the declarations that operators write: database groups, their upstreams, the services that use them and
+ * the request kinds each service may send.
  */
 import * as z from 'zod'
 
@@ -8,28 +8,28 @@
 const milliseconds = z.number().int().nonnegative()
 const port = z.number().int().min(0).max(65535)
 
-/** How a duty is carried out: not at all, by saying what would be done, or in full. */
+/** Modes of a duty: `observe` logs what would be done, `act` does it. */
 const DUTY_MODES = ['off', 'observe', 'act'] as const
 
 const dutyMode = z.enum(DUTY_MODES)
 
 /** A kind of request that a service may send. */
 export const kindSchema = z.strictObject({
-  /** Whether requests of this kind only read. */
+  /** Whether requests of this kind are read-only. */
   access: z.enum(['read', 'write']),
-  /** Greatest age of the data a read accepts, in milliseconds; reads of the session's own writes always hold. */
+  /** Maximum staleness of a read, in milliseconds. Sessions always read their own writes. */
   maximumAgeMs: milliseconds.default(1000),
-  /** When a write is acknowledged: `replicated` to a majority, or `confirmed` by a majority's terms alone. */
+  /** When a write is acknowledged: once `replicated` to a majority, or once a majority `confirmed` no newer term. */
   acknowledgement: z.enum(['replicated', 'confirmed']).default('replicated'),
-  /** Whether the statement is idempotent, so that running it twice does no harm. */
+  /** Whether the statement is idempotent. */
   repeatable: z.boolean().default(false),
-  /** Time a request of this kind may take in all, in milliseconds. */
+  /** Total deadline of a request, in milliseconds. */
   deadlineMs: z.number().int().positive().default(5000),
-  /** Higher goes first when requests queue. */
+  /** Queued requests with a higher priority are served first. */
   priority: z.number().int().min(0).max(9).default(5)
 })
 
-/** A service: the callers that share one name, password and set of request kinds. */
+/** A service: callers that share a name, a password and a set of request kinds. */
 const serviceSchema = z.strictObject({
   /** SHA1(SHA1(password)) in hexadecimal, as `worksward hash-password` prints it. */
   passwordHash: z.string().regex(/^[0-9a-f]{40}$/, 'expected 40 hexadecimal digits; see "worksward hash-password"'),
@@ -37,36 +37,36 @@
   kinds: z.record(name, kindSchema).default({})
 })
 
-/** One database server of a group. */
+/** A database server of a group. */
 const upstreamSchema = z.strictObject({
   name,
-  /** Address by IP number. */
+  /** IP address. */
   address: z.string().min(1),
   port,
   failureDomain: name,
-  /** `draining` takes no new work. */
+  /** A `draining` upstream receives no new requests. */
   state: z.enum(['active', 'draining']).default('active')
 })
 
-/** Bounds that protect the upstreams of a group. */
+/** Limits that protect the upstreams of a group. */
 const limitsSchema = z.strictObject({
-  /** Connections an upstream accepts from everybody. */
+  /** Connections that an upstream accepts in total. */
   connections: z.number().int().min(4).default(25),
-  /** Connections left to keepers, probes and the team's own tools. */
+  /** Connections reserved for keepers, probes and administration. */
   reservedConnections: z.number().int().nonnegative().default(10),
-  /** Statements an upstream executes at a time. */
+  /** Statements that an upstream executes concurrently. */
   slots: z.number().int().positive().default(3),
-  /** Requests that may queue for one upstream in one proxy. */
+  /** Maximum length of a proxy's request queue for an upstream. */
   queue: z.number().int().positive().default(200),
-  /** Homes of the group, each with an equal part of the connections. */
+  /** Number of homes of the group; the connections are divided equally among them. */
   homes: z.number().int().positive().default(3),
-  /** Greatest size of a statement, in bytes. */
+  /** Maximum size of a statement, in bytes. */
   statementBytes: z.number().int().positive().default(1_000_000),
-  /** Greatest number of rows in an answer. */
+  /** Maximum number of rows in an answer. */
   answerRows: z.number().int().positive().default(10_000),
-  /** Greatest time a transaction may stay open, in milliseconds. */
+  /** Maximum duration of a transaction, in milliseconds. */
   transactionMs: z.number().int().positive().default(30_000),
-  /** Greatest time a read waits for a replica to catch up, in milliseconds. */
+  /** Maximum time a read waits for a replica to catch up, in milliseconds. */
   catchUpMs: milliseconds.default(100)
 })
 
@@ -80,12 +80,12 @@
 /** A database group: one primary and its replicas. */
 export const groupSchema = z.strictObject({
   upstreams: z.array(upstreamSchema).min(1),
-  /** Account worksward uses on the upstreams. */
+  /** Account used to connect to the upstreams. */
   account: z.strictObject({ user: z.string(), password: z.string() }),
   services: z.record(name, serviceSchema).default({}),
   limits: limitsSchema.prefault({}),
   duties: dutiesSchema.prefault({}),
-  /** Time for which request keys are remembered, in milliseconds. */
+  /** Retention time of request keys, in milliseconds. */
   keyRetentionMs: z.number().int().positive().default(86_400_000)
 }).superRefine((group, context) => {
   const names = group.upstreams.map((upstream) => upstream.name)
@@ -114,5 +114,5 @@
 export type UpstreamDeclaration = z.infer<typeof upstreamSchema>
 /** A declared database group. */
 export type Group = z.infer<typeof groupSchema>
-/** A whole declarations file. */
+/** Content of a declarations file. */
 export type Declarations = z.infer<typeof declarationsSchema>
--- a/src/core/config/entry-settings.ts
+++ b/src/core/config/entry-settings.ts
@@ -1,53 +1,53 @@
-/** Settings of an entry process. */
+/** Settings schema of the entry process. */
 import * as z from 'zod'
 import { LOG_LEVELS } from '../logger/index.ts'
 
 const endpoint = z.string().regex(/^[0-9.]+:\d+$/, 'expected ip:port')
 const milliseconds = z.number().int().positive()
 
-/** A number that a template may leave empty. */
-const optionalNumber = (otherwise: number) =>
-  z.number().nonnegative().nullish().transform((value) => value ?? otherwise)
+/** A number with a default for empty values, which a deployment template may produce. */
+const optionalNumber = (defaultValue: number) =>
+  z.number().nonnegative().nullish().transform((value) => value ?? defaultValue)
 
 /** Settings of an entry process. */
 export const entrySettingsSchema = z.strictObject({
   host: z.strictObject({
     /** Name of the host, unique among all hosts. */
     name: z.string().min(1),
-    /** IP number the process listens on and dials from. */
+    /** IP address the process listens on and connects from. */
     address: z.string().min(1),
     failureDomain: z.string().min(1)
   }),
   listen: z.strictObject({
-    /** Where callers connect. */
+    /** Endpoint for callers. */
     callers: endpoint,
-    /** Where the balancer asks whether the process is ready. */
+    /** Endpoint for the readiness checks of the load balancer. */
     readiness: endpoint,
     /** Port for peers. */
     peers: z.number().int().min(0).max(65535),
     /** Port for metrics and the state dump. */
     metrics: z.number().int().min(0).max(65535)
   }),
-  /** The store that keeps what must last. */
+  /** Endpoint of the store that holds persistent state. */
   store: endpoint,
-  /** The service that promotes upstreams. */
+  /** Endpoint of the service that promotes upstreams. */
   promotion: endpoint,
   peers: z.strictObject({
     /** Key by which peers authenticate each other. */
     key: z.string().min(16)
   }),
-  /** Time between the order to stop and the kill, in seconds. */
+  /** Grace period between SIGTERM and SIGKILL, in seconds. */
   graceSeconds: z.number().positive().default(6),
-  /** Time after which a leaving upstream must get nothing new, in milliseconds. */
+  /** Time after which a draining upstream must receive no new statements, in milliseconds. */
   drainMs: milliseconds.default(7000),
-  /** How the limits of organisations are counted; what is left empty has its default. */
+  /** Rate limits of organisations. Empty values take the default. */
   limits: z.strictObject({
-    /** Span of time in which a limit holds, in seconds. */
+    /** Length of the window over which a limit is enforced, in seconds. */
     windowSeconds: optionalNumber(5),
     /**
-     * What the count in such a span may exceed a limit by: a part of it, and a number of operations. Callers get a
-     * quarter of the part and half of the operations; the rest makes up for hosts that cannot exchange what they
-     * have granted.
+     * Permitted excess over a limit within a window: a fraction of the limit plus a number of operations. Callers
+     * get a quarter of the fraction and half of the operations; the rest covers hosts that cannot exchange the number
+     * of operations they granted.
      */
     tolerance: z.strictObject({ part: optionalNumber(0), operations: optionalNumber(0) }).prefault({})
   }).prefault({}),
--- a/src/core/config/index.ts
+++ b/src/core/config/index.ts
@@ -1,4 +1,4 @@
-/** Configuration: schemas of settings and declarations, and the loader that checks files against them. */
+/** Configuration: schemas of settings and declarations, and the loader that validates files against them. */
 export * from './declarations.ts'
 export * from './entry-settings.ts'
 export * from './settings.ts'
--- a/src/core/config/load-file.ts
+++ b/src/core/config/load-file.ts
@@ -1,15 +1,15 @@
-/** Reads a YAML file against a schema and reports each mistake with its path, line and reason. */
+/** Loads YAML files, validates them against a schema and reports each mistake with its path, line and reason. */
 import { readFileSync } from 'node:fs'
 import { LineCounter, parseDocument, type Document } from 'yaml'
 import type * as z from 'zod'
 import { WorkswardError, describeThrown, type FileMistake } from '../errors/index.ts'
 
 /**
- * Reads and checks a YAML file.
+ * Reads and validates a YAML file.
  *
  * @param file - path of the file
- * @param schema - what the file must satisfy
- * @returns the checked content, defaults filled in
+ * @param schema - schema of the content
+ * @returns the validated content with defaults applied
  * @throws WorkswardError `UnreadableFile` or `InvalidSettings`
  */
 export function loadFile<Schema extends z.ZodType> (file: string, schema: Schema): z.infer<Schema> {
@@ -17,20 +17,20 @@
 }
 
 /**
- * Checks YAML text.
+ * Parses and validates YAML text.
  *
- * @param file - name to give in messages
- * @param text - the YAML
- * @param schema - what it must satisfy
- * @returns the checked content, defaults filled in
+ * @param file - file name shown in error messages
+ * @param text - YAML text
+ * @param schema - schema of the content
+ * @returns the validated content with defaults applied
  * @throws WorkswardError `UnreadableFile` or `InvalidSettings`
  */
 export function parseContent<Schema extends z.ZodType> (file: string, text: string, schema: Schema): z.infer<Schema> {
   const lines = new LineCounter()
   const document = parseDocument(text, { lineCounter: lines })
-  const broken = document.errors[0]
-  if (broken !== undefined) {
-    throw new WorkswardError('UnreadableFile', { file, reason: broken.message })
+  const syntaxError = document.errors[0]
+  if (syntaxError !== undefined) {
+    throw new WorkswardError('UnreadableFile', { file, reason: syntaxError.message })
   }
   const result = schema.safeParse(document.toJS() ?? {})
   if (result.success) {
@@ -46,7 +46,7 @@
 }
 
 /**
- * Reads a text file.
+ * Reads a UTF-8 text file.
  *
  * @param file - path of the file
  * @returns its content
@@ -64,6 +64,7 @@
   return path.map(String).join('.')
 }
 
+/** Returns the line of the deepest node on the path that exists in the document. */
 function findLine (document: Document, lines: LineCounter, path: PropertyKey[]): number | undefined {
   for (let length = path.length; length > 0; length--) {
     const node = document.getIn(path.slice(0, length), true) as { range?: [number, number, number] } | undefined
--- a/src/core/config/settings.ts
+++ b/src/core/config/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of one process: who it is, where it listens, where the platform and its peers are. */
+/** Settings schemas of the proxy, keeper and stand-in processes. */
 import * as z from 'zod'
 import { LOG_LEVELS } from '../logger/index.ts'
 
@@ -8,7 +8,7 @@
 const hostSchema = z.strictObject({
   /** Name of the host, unique among all hosts. */
   name: z.string().min(1),
-  /** IP number the process listens on and dials from. */
+  /** IP address the process listens on and connects from. */
   address: z.string().min(1),
   failureDomain: z.string().min(1)
 })
@@ -25,7 +25,7 @@
   table: z.string().default('worksward'),
   /** Bucket that holds snapshots of the configuration. */
   bucket: z.string().default('worksward'),
-  /** Time one platform call may take, in milliseconds. */
+  /** Timeout of a platform call, in milliseconds. */
   timeoutMs: milliseconds.default(1000),
   /** Mean time between two reads of the configuration head, in milliseconds. */
   pollMs: milliseconds.default(1000),
@@ -36,13 +36,13 @@
 const peersSchema = z.strictObject({
   /** Key by which peers authenticate each other. */
   key: z.string().min(16),
-  /** Peer addresses `ip:port` to ask when the platform's list cannot be had. */
+  /** Peer addresses `ip:port` to ask when the platform's list of hosts is unavailable. */
   seeds: z.array(z.string().regex(/^[0-9.]+:\d+$/, 'expected ip:port')).default([]),
-  /** Time between two heartbeats to a peer, in milliseconds. */
+  /** Heartbeat interval, in milliseconds. */
   heartbeatMs: milliseconds.default(250)
 })
 
-/** What an operator may do. */
+/** Rights that an operator may have. */
 export const OPERATOR_RIGHTS = ['read', 'change'] as const
 
 const operatorSchema = z.strictObject({
@@ -69,10 +69,10 @@
   }).prefault({}),
   platform: platformSchema,
   peers: peersSchema,
-  /** Who may ask and change; nobody when empty. */
+  /** Operators and their rights; without any, nobody can query or change this process. */
   operators: z.array(operatorSchema).default([]),
   log: logSchema.prefault({}),
-  /** Time a planned stop may take, in milliseconds. */
+  /** Timeout of a graceful shutdown, in milliseconds. */
   stopMs: milliseconds.default(10_000)
 })
 
@@ -85,18 +85,18 @@
   }).prefault({}),
   platform: platformSchema,
   peers: peersSchema,
-  /** Who may ask and change; nobody when empty. */
+  /** Operators and their rights; without any, nobody can query or change this process. */
   operators: z.array(operatorSchema).default([]),
   log: logSchema.prefault({}),
-  /** How upstreams are watched. */
+  /** Health checks of upstreams. */
   watch: z.strictObject({
-    /** Time between two probes of an upstream, in milliseconds. */
+    /** Probe interval of an upstream, in milliseconds. */
     probeMs: milliseconds.default(100),
     /** Time after which an unanswered probe counts as failed, in milliseconds. */
     timeoutMs: milliseconds.default(150),
-    /** Failed probes in a row that make a primary suspect. */
+    /** Consecutive failed probes after which a primary is suspected to be down. */
     failures: z.number().int().positive().default(2),
-    /** Time each further keeper waits before it acts itself, in milliseconds. */
+    /** Additional delay of each further keeper before it starts a failover, in milliseconds. */
     staggerMs: milliseconds.default(150)
   }).prefault({})
 })
@@ -106,7 +106,7 @@
   address: z.string().default('127.0.0.1'),
   /** Port of the table service and object store. */
   platformPort: port.default(0),
-  /** Port of the fault control. */
+  /** Port of the fault injection API. */
   controlPort: port.default(0),
   /** Accepted access keys by name. */
   accessKeys: z.record(z.string(), z.string()).default({ worksward: 'worksward-secret' }),
@@ -124,7 +124,7 @@
     readMs: z.number().nonnegative().default(1),
     writeMs: z.number().nonnegative().default(2),
     lagMs: z.number().nonnegative().default(5),
-    /** SQL run once on every upstream before it serves. */
+    /** SQL run once on every upstream at startup. */
     schema: z.array(z.string()).default([]),
     upstreams: z.array(z.strictObject({ name: z.string(), port }))
   })).default({}),
@@ -145,7 +145,7 @@
 export type KeeperSettings = z.infer<typeof keeperSettingsSchema>
 /** Settings of the stand-in process. */
 export type StandinSettings = z.infer<typeof standinSettingsSchema>
-/** An operator. */
+/** Settings of an operator. */
 export type OperatorSettings = z.infer<typeof operatorSchema>
 /** Settings that proxies and keepers share. */
 export type MemberSettings = Pick<KeeperSettings, 'host' | 'platform' | 'peers' | 'operators' | 'log'>
--- a/src/core/errors/verdict.ts
+++ b/src/core/errors/verdict.ts
@@ -1,7 +1,7 @@
-/** Verdicts: what is known about whether a request ran. */
+/** Verdicts: whether a failed request may have taken effect. */
 
 /**
- * - `not-run`: the request certainly had no effect and never will; the only verdict that may be retried.
+ * - `not-run`: the request had no effect and never will, so that it may be retried.
  * - `may-have-run`: unknown.
  * - `ran`: the request took effect.
  */
--- a/src/core/errors/worksward-error.ts
+++ b/src/core/errors/worksward-error.ts
@@ -1,15 +1,15 @@
-/** The error classes of worksward. */
+/** Error classes. */
 import { catalogue, type CatalogueEntry, type ErrorDetails, type ErrorName } from './catalogue.ts'
 import type { Verdict } from './verdict.ts'
 
-/** MySQL's code for an unknown error. */
+/** MySQL code ER_UNKNOWN_ERROR. */
 const UNKNOWN_ERROR_CODE = 1105
 
-/** An error of the catalogue, with a hint for the reader. */
+/** An error of the catalogue. */
 export class WorkswardError<Name extends ErrorName = ErrorName> extends Error {
   /** Name of the catalogue entry. */
   readonly entry: Name
-  /** Arguments of this occurrence. */
+  /** Message arguments of this occurrence. */
   readonly details: ErrorDetails<Name>
 
   constructor (entry: Name, details: ErrorDetails<Name>) {
@@ -19,7 +19,7 @@
     this.details = details
   }
 
-  /** What the reader can do about it. */
+  /** How to resolve the error. */
   get hint (): string {
     return lookUp(this.entry).hint
   }
@@ -29,13 +29,13 @@
     return lookUp(this.entry).title
   }
 
-  /** MySQL error code shown to callers. */
+  /** MySQL error code sent to callers. */
   get mysqlCode (): number {
     return lookUp(this.entry).mysqlCode ?? UNKNOWN_ERROR_CODE
   }
 }
 
-/** A request that failed, with the verdict on whether it may have run. */
+/** A failed request, with the verdict on whether it may have run. */
 export class RequestError<Name extends ErrorName = ErrorName> extends WorkswardError<Name> {
   readonly verdict: Verdict
 
@@ -53,11 +53,11 @@
 }
 
 /**
- * Turns any thrown value into a request error.
+ * Converts any thrown value to a request error.
  *
- * @param thrown - what was caught
- * @param verdict - the verdict to give a value that carries none
- * @param override - whether to give that verdict whatever the value carries
+ * @param thrown - the caught value
+ * @param verdict - verdict for a value that has none
+ * @param override - whether the verdict replaces that of a request error
  * @returns the request error
  */
 export function toRequestError (thrown: unknown, verdict: Verdict, override = false): RequestError {
@@ -71,10 +71,10 @@
 }
 
 /**
- * Describes any thrown value in one line.
+ * Returns the message of any thrown value.
  *
- * @param thrown - what was caught
- * @returns its message
+ * @param thrown - the caught value
+ * @returns its message; those of an aggregate error without a message are joined
  */
 export function describeThrown (thrown: unknown): string {
   if (thrown instanceof AggregateError && thrown.message === '') {
--- a/src/core/kernel/index.ts
+++ b/src/core/kernel/index.ts
@@ -1,49 +1,48 @@
 /**
- * The kernel: starts the plug-ins of a process in the order their needs demand, and closes them in the
- * reverse order. Plug-ins register themselves when their module is imported.
+ * The kernel: starts the plug-ins of a process in dependency order and closes them in the reverse order. Plug-ins
+ * register themselves when their module is imported.
  */
 import { formatFields, type Logger } from '../logger/index.ts'
 import type { Dialer } from '../wire/dialer.ts'
 
 /**
- * What plug-ins offer each other, by plug-in name. Each plug-in adds its own line by declaration merging.
+ * Services of plug-ins, by plug-in name. Each plug-in adds its own entry by declaration merging.
  *
  * @public
  */
 export interface Services {}
 
-/** Name of a plug-in. */
 type PluginName = keyof Services & string
 
-/** What a plug-in is given when it starts. */
+/** Context passed to a plug-in at startup. */
 export interface PluginContext {
-  /** Checked settings of the process; the plug-in reads the part it knows. */
+  /** Validated settings of the process; each plug-in casts them to the type it uses. */
   settings: unknown
   logger: Logger
-  /** Opens every outgoing connection of the process. */
+  /** Opens the outgoing connections of the process. */
   dialer: Dialer
-  /** Aborts when the process has been told to stop. */
+  /** Aborted when the process begins to stop. */
   stopping: AbortSignal
   /**
    * Returns the service of a started plug-in.
    *
-   * @param name - its name, which must be among the plug-in's needs
+   * @param name - name of the plug-in, which must be a dependency
    */
   use: <Name extends PluginName>(name: Name) => Services[Name]
-  /** State of every plug-in of the process. */
+  /** Returns the state of all plug-ins, for diagnostics. */
   dump: () => Record<string, unknown>
 }
 
 /** A running plug-in. */
 interface RunningPlugin<Service> {
   service: Service
-  /** Announces to other processes that this one is about to stop; called for all plug-ins before any of them drains. */
+  /** Tells other processes that this one is stopping; called on all plug-ins before any of them drains. */
   announceStop?: () => void
-  /** Finishes work in flight before the process closes; called in order while everything still runs. */
+  /** Completes work in progress while all plug-ins still run; called in reverse order of startup. */
   drain?: () => Promise<void>
-  /** Frees everything the plug-in holds. */
+  /** Releases the resources of the plug-in. */
   close?: () => Promise<void> | void
-  /** State for a dump. */
+  /** Returns the state of the plug-in, for diagnostics. */
   dump?: () => unknown
 }
 
@@ -54,14 +53,14 @@
   start: (context: PluginContext) => Promise<RunningPlugin<Services[Name]>> | RunningPlugin<Services[Name]>
 }
 
-/** A running process part: the started plug-ins. */
+/** The running plug-ins of a process. */
 export interface Kernel {
   use: <Name extends PluginName>(name: Name) => Services[Name]
-  /** State of every plug-in. */
+  /** Returns the state of all plug-ins, for diagnostics. */
   dump: () => Record<string, unknown>
-  /** Planned stop: drains, then closes. */
+  /** Stops gracefully: drains the plug-ins, then closes them. */
   stop: () => Promise<void>
-  /** Unplanned stop: closes at once. */
+  /** Closes the plug-ins without draining them. */
   close: () => Promise<void>
 }
 
@@ -85,33 +84,33 @@
 }
 
 /**
- * Starts plug-ins with everything they need.
+ * Starts plug-ins and their dependencies.
  *
- * @param options - the wanted plug-ins and what they share
+ * @param options - the plug-ins and their shared context
  * @returns the running kernel
  */
 export async function startKernel (options: KernelOptions): Promise<Kernel> {
   const running = new Map<string, RunningPlugin<unknown>>()
-  const stopper = new AbortController()
+  const stopController = new AbortController()
   const use = <Name extends PluginName>(name: Name): Services[Name] => {
     const plugin = running.get(name)
     if (plugin === undefined) {
-      throw new Error(`plug-in ${name} is used but not among the needs`)
+      throw new Error(`plug-in ${name} is used but is not a declared dependency`)
     }
     return plugin.service as Services[Name]
   }
   const dump = (): Record<string, unknown> =>
     Object.fromEntries([...running].map(([name, plugin]) => [name, plugin.dump?.() ?? {}]))
-  const context: PluginContext = { ...options, stopping: stopper.signal, use, dump }
+  const context: PluginContext = { ...options, stopping: stopController.signal, use, dump }
   const close = async (): Promise<void> => {
-    stopper.abort()
+    stopController.abort()
     for (const plugin of [...running.values()].reverse()) {
       await plugin.close?.()
     }
     running.clear()
   }
   try {
-    for (const plugin of sortByNeeds(options.plugins)) {
+    for (const plugin of sortByDependencies(options.plugins)) {
       running.set(plugin.name, await plugin.start(context))
     }
   } catch (thrown) {
@@ -123,7 +122,7 @@
     close,
     dump,
     stop: async () => {
-      stopper.abort()
+      stopController.abort()
       running.forEach((plugin) => plugin.announceStop?.())
       for (const plugin of [...running.values()].reverse()) {
         await plugin.drain?.()
@@ -133,7 +132,8 @@
   }
 }
 
-function sortByNeeds (wanted: PluginName[]): Plugin[] {
+/** Sorts plug-ins topologically; throws on unknown plug-ins and dependency cycles. */
+function sortByDependencies (requested: PluginName[]): Plugin[] {
   const sorted: Plugin[] = []
   const visit = (name: PluginName, path: string[]): void => {
     const plugin = registry.get(name)
@@ -141,10 +141,10 @@
       throw new Error(`cannot start plug-ins: ${formatFields({ name, path: path.join('>'), known: plugin !== undefined })}`)
     }
     if (!sorted.includes(plugin)) {
-      plugin.dependencies.forEach((need) => visit(need, [...path, name]))
+      plugin.dependencies.forEach((dependency) => visit(dependency, [...path, name]))
       sorted.push(plugin)
     }
   }
-  wanted.forEach((name) => visit(name, []))
+  requested.forEach((name) => visit(name, []))
   return sorted
 }
--- a/src/core/logger/budget.ts
+++ b/src/core/logger/budget.ts
@@ -1,36 +1,36 @@
-/** Bounds the volume of logs: each event has a budget a second; what goes beyond it is counted and told. */
+/** Rate limit of the logs: lines beyond the budget per second of an event are suppressed and counted. */
 import type { EventName, Logger, LogLevel } from './index.ts'
 
-/** Lines of one event that are written in a second, by level: failures have the larger budget. */
+/** Maximum lines per second of an event, by level; errors have the larger budgets. */
 const LINES_PER_SECOND: Record<LogLevel, number> = { error: 100, warn: 60, info: 30, debug: 10 }
-/** Length of the period of a budget, in milliseconds. */
+/** Length of a budget period, in milliseconds. */
 const PERIOD_MS = 1000
 
-/** Lines of one event in this period. */
-interface EventBudget {
+/** Lines of an event in the current period. */
+interface EventLineCount {
   written: number
-  leftOut: number
+  suppressed: number
 }
 
 /**
- * Puts budgets before a logger.
+ * Wraps a logger with a budget for each event.
  *
  * @param logger - the logger
- * @param onLeftOut - told of each line that is left out
- * @returns a logger that writes no more than the budgets allow
+ * @param onSuppressed - called for each suppressed line
+ * @returns the rate-limited logger
  */
-export function createBudgetedLogger (logger: Logger, onLeftOut: (event: EventName) => void = () => {}): Logger {
-  const budgets = new Map<EventName, EventBudget>()
+export function createBudgetedLogger (logger: Logger, onSuppressed: (event: EventName) => void = () => {}): Logger {
+  const lineCounts = new Map<EventName, EventLineCount>()
   let periodEnds = performance.now() + PERIOD_MS
 
   const startPeriod = (now: number): void => {
     periodEnds = now + PERIOD_MS
-    for (const [event, { leftOut }] of budgets) {
-      if (leftOut > 0) {
-        logger.log('warn', 'log.suppressed', { of: event, lines: leftOut })
+    for (const [event, { suppressed }] of lineCounts) {
+      if (suppressed > 0) {
+        logger.log('warn', 'log.suppressed', { of: event, lines: suppressed })
       }
     }
-    budgets.clear()
+    lineCounts.clear()
   }
   return {
     log: (level, event, fields) => {
@@ -38,14 +38,14 @@
       if (now >= periodEnds) {
         startPeriod(now)
       }
-      const budget = budgets.get(event) ?? { written: 0, leftOut: 0 }
-      budgets.set(event, budget)
-      if (budget.written >= LINES_PER_SECOND[level]) {
-        budget.leftOut++
-        onLeftOut(event)
+      const lineCount = lineCounts.get(event) ?? { written: 0, suppressed: 0 }
+      lineCounts.set(event, lineCount)
+      if (lineCount.written >= LINES_PER_SECOND[level]) {
+        lineCount.suppressed++
+        onSuppressed(event)
         return
       }
-      budget.written++
+      lineCount.written++
       logger.log(level, event, fields)
     }
   }
--- a/src/core/logger/index.ts
+++ b/src/core/logger/index.ts
@@ -1,4 +1,4 @@
-/** Structured logs: one line of key=value pairs for each event, with a stable event name. */
+/** Structured logging: each event is a line of key=value fields with a stable event name. */
 import winston from 'winston'
 import type { EventName } from './events.ts'
 import type { LogFields, LogLevel } from './types.ts'
@@ -6,19 +6,19 @@
 export { LOG_LEVELS, type LogFields, type LogLevel } from './types.ts'
 export type { EventName } from './events.ts'
 
-/** Writes events. */
+/** Writes events to the log. */
 export interface Logger {
   /**
-   * Writes one event.
+   * Writes an event.
    *
-   * @param level - urgency
+   * @param level - severity
    * @param event - name of the event
-   * @param fields - further pairs
+   * @param fields - further fields of the line
    */
   log: (level: LogLevel, event: EventName, fields?: LogFields) => void
 }
 
-/** A logger whose level may change while it runs. */
+/** A logger whose level can be changed at run time. */
 interface LeveledLogger extends Logger {
   setLevel: (level: LogLevel | 'silent') => void
 }
@@ -26,16 +26,16 @@
 /** Options of {@link createLogger}. */
 interface LoggerOptions {
   level: LogLevel | 'silent'
-  /** Pairs that stand on every line, such as the host. */
+  /** Fields of every line, such as the host. */
   fields: LogFields
-  /** Where lines go; the process's standard error when absent. */
+  /** Destination of the lines; standard error when absent. */
   stream?: NodeJS.WritableStream
 }
 
 /**
  * Creates a logger.
  *
- * @param options - level, common fields and target
+ * @param options - level, common fields and destination
  * @returns the logger
  */
 export function createLogger (options: LoggerOptions): LeveledLogger {
@@ -55,19 +55,19 @@
       if (!backend.isLevelEnabled(level)) {
         return
       }
-      const pairs = { time: new Date().toISOString(), level, event, ...options.fields, ...fields }
-      backend.log(level, formatFields(pairs))
+      const lineFields = { time: new Date().toISOString(), level, event, ...options.fields, ...fields }
+      backend.log(level, formatFields(lineFields))
     }
   }
 }
 
-/** A logger that writes nothing, for tests and embedded use. */
+/** A logger that discards everything, for tests and embedded use. */
 export const silentLogger: Logger = { log: () => {} }
 
 /**
- * Formats pairs as one line.
+ * Formats fields as a line.
  *
- * @param fields - the pairs; undefined values are left out
+ * @param fields - the fields; undefined values are omitted
  * @returns `key=value key="value with spaces"`
  */
 export function formatFields (fields: LogFields): string {
--- a/src/core/logger/types.ts
+++ b/src/core/logger/types.ts
@@ -1,9 +1,9 @@
-/** Types of logs. */
+/** Types of the logger. */
 
-/** Values a log line may carry. */
+/** Fields of a log line. */
 export type LogFields = Record<string, string | number | boolean | undefined>
 
-/** Levels, most urgent first. */
+/** Levels, most severe first. */
 export const LOG_LEVELS = ['error', 'warn', 'info', 'debug'] as const
 
 /** One of {@link LOG_LEVELS}. */
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -1,17 +1,17 @@
-/** Choices at random. */
+/** Random sampling. */
 
 /**
- * Chooses some items at random.
+ * Draws random items without replacement.
  *
  * @param items - the items
- * @param count - how many to choose; all when there are no more
- * @returns the chosen ones, in random order
+ * @param count - maximum number of items to draw
+ * @returns the drawn items, in random order
  */
 export function sampleItems<Item> (items: Item[], count: number): Item[] {
-  const left = [...items]
-  const chosen: Item[] = []
-  while (chosen.length < count && left.length > 0) {
-    chosen.push(...left.splice(Math.floor(Math.random() * left.length), 1))
+  const remaining = [...items]
+  const sample: Item[] = []
+  while (sample.length < count && remaining.length > 0) {
+    sample.push(...remaining.splice(Math.floor(Math.random() * remaining.length), 1))
   }
-  return chosen
+  return sample
 }
--- a/src/core/time/bounded-wait.ts
+++ b/src/core/time/bounded-wait.ts
@@ -1,23 +1,23 @@
 /**
- * One wait in a queue that ends when it is served, when it is rejected or when its time is over, whichever comes first;
- * what comes later is ignored. The queue that holds it decides the order; this owns the timer and the promise.
+ * A promise that is resolved or rejected from outside, and rejected on timeout. Only the first outcome counts. Queues
+ * hold these for their waiting entries.
  */
 
 /** Options of {@link createBoundedWait}. */
 interface BoundedWaitOptions {
-  /** Greatest wait, in milliseconds. */
+  /** Timeout, in milliseconds. */
   timeoutMs: number
   /**
-   * Called when the time is over, before the promise is rejected; takes the wait out of its queue.
+   * Called on timeout, before the promise is rejected; removes the wait from its queue.
    *
-   * @returns what the promise is rejected with
+   * @returns the error to reject the promise with
    */
   onTimeout: () => Error
 }
 
-/** A wait with a greatest length. */
+/** A wait with a timeout. */
 export interface BoundedWait<Value> {
-  /** Settles when the wait is over. */
+  /** Settles when the wait ends. */
   readonly result: Promise<Value>
   readonly isSettled: boolean
   /** Ends the wait with a value. */
@@ -29,28 +29,28 @@
 /**
  * Starts a wait.
  *
- * @param options - the greatest wait, and what happens after it
+ * @param options - the timeout and its handler
  * @returns the wait
  */
 export function createBoundedWait<Value> ({ timeoutMs, onTimeout }: BoundedWaitOptions): BoundedWait<Value> {
-  let isOver = false
+  let isSettled = false
   let timer: NodeJS.Timeout | undefined
-  let settle: { resolve: (value: Value) => void, reject: (error: Error) => void } | undefined
-  const finish = (): typeof settle => {
-    if (isOver) {
+  let callbacks: { resolve: (value: Value) => void, reject: (error: Error) => void } | undefined
+  const finish = (): typeof callbacks => {
+    if (isSettled) {
       return undefined
     }
-    isOver = true
+    isSettled = true
     clearTimeout(timer)
-    return settle
+    return callbacks
   }
   const result = new Promise<Value>((resolve, reject) => {
-    settle = { resolve, reject }
+    callbacks = { resolve, reject }
     timer = setTimeout(() => finish()?.reject(onTimeout()), timeoutMs)
   })
   return {
     result,
-    get isSettled () { return isOver },
+    get isSettled () { return isSettled },
     resolve: (value) => finish()?.resolve(value),
     reject: (error) => finish()?.reject(error)
   }
--- a/src/core/time/deadline.ts
+++ b/src/core/time/deadline.ts
@@ -1,32 +1,32 @@
-/** Deadlines on the monotonic clock of the runtime. */
+/** Deadlines and timeouts, on the monotonic clock. */
 import { RequestError, type Verdict } from '../errors/index.ts'
 
-/** A point in time by which something must be done. */
+/** A point in time by which a request must finish. */
 export class Deadline {
-  /** Time granted in all, in milliseconds. */
+  /** Total time granted, in milliseconds. */
   readonly grantedMs: number
-  private readonly at: number
+  private readonly expiresAt: number
 
   constructor (grantedMs: number) {
     this.grantedMs = grantedMs
-    this.at = performance.now() + grantedMs
+    this.expiresAt = performance.now() + grantedMs
   }
 
-  /** Time left, in milliseconds; never negative. */
+  /** Remaining time, in milliseconds; never negative. */
   get leftMs (): number {
-    return Math.max(0, this.at - performance.now())
+    return Math.max(0, this.expiresAt - performance.now())
   }
 
-  /** Whether no time is left. */
+  /** Whether the deadline has passed. */
   get passed (): boolean {
     return this.leftMs === 0
   }
 
   /**
-   * Fails once the deadline has passed.
+   * Throws if the deadline has passed.
    *
-   * @param verdict - what is known of the request
-   * @param stage - what was being done
+   * @param verdict - verdict of the error
+   * @param stage - activity named in the message
    * @throws RequestError `DeadlineExceeded`
    */
   check (verdict: Verdict, stage: string): void {
@@ -38,8 +38,8 @@
   /**
    * Builds the error for a passed deadline.
    *
-   * @param verdict - what is known of the request
-   * @param stage - what was being done
+   * @param verdict - verdict of the error
+   * @param stage - activity named in the message
    * @returns the error
    */
   exceeded (verdict: Verdict, stage: string): RequestError {
@@ -47,11 +47,11 @@
   }
 
   /**
-   * Waits for a result until the deadline.
+   * Waits for a promise until the deadline.
    *
-   * @param pending - the result
-   * @param verdict - what is known of the request if it takes too long
-   * @param stage - what is being done
+   * @param pending - the promise
+   * @param verdict - verdict of the error on timeout
+   * @param stage - activity named in the message
    * @returns the result
    * @throws RequestError `DeadlineExceeded`, or what `pending` rejects with
    */
@@ -64,14 +64,14 @@
   }
 }
 
-/** Returned by {@link withTimeout} when time ran out. */
+/** Returned by {@link withTimeout} on timeout. */
 export const TIMED_OUT = Symbol('timed out')
 
 /**
- * Waits for a result for a bounded time. A result that comes later is ignored.
+ * Waits for a promise with a timeout. A result after the timeout is ignored.
  *
- * @param pending - the result
- * @param timeoutMs - greatest wait, in milliseconds
+ * @param pending - the promise
+ * @param timeoutMs - timeout, in milliseconds
  * @returns the result, or {@link TIMED_OUT}
  */
 export async function withTimeout<Result> (
@@ -85,15 +85,15 @@
     return await Promise.race([pending, timeout])
   } finally {
     clearTimeout(timer)
-    // A failure in time was thrown by the race; the caller no longer waits for one that comes later.
+    // Prevents an unhandled rejection when the promise fails after the timeout.
     pending.catch(() => {})
   }
 }
 
 /**
- * Pauses for a time.
+ * Waits for a duration.
  *
- * @param durationMs - the time, in milliseconds
+ * @param durationMs - duration, in milliseconds
  */
 export async function pause (durationMs: number): Promise<void> {
   await new Promise<void>((resolve) => { setTimeout(resolve, durationMs) })
--- a/src/core/time/repeat.ts
+++ b/src/core/time/repeat.ts
@@ -1,41 +1,41 @@
-/** Periodic work with a jittered pause, and a backoff while it fails. */
+/** Runs periodic work with jitter, and with exponential backoff while it fails. */
 
-/** Least part of a pause that is waited, and the random rest: processes must not act in step. */
-const SHORTEST_WAIT = 0.75
-const WAIT_JITTER = 0.5
+/** Bounds of the random factor of a pause, which keeps processes from running in lockstep. */
+const MINIMUM_PAUSE_FACTOR = 0.75
+const PAUSE_JITTER = 0.5
 
 /**
- * Repeats work with a jittered pause in between.
+ * Repeats work with a jittered pause between runs.
  *
  * @param intervalMs - mean pause, in milliseconds
- * @param work - the work; the pause begins when it has ended
- * @param onError - called when a turn fails; the next one comes after the backoff
- * @param retryMs - mean pause after a turn that failed, in milliseconds; it doubles from one failure to the next
- * @param greatestRetryMs - greatest such pause, in milliseconds
- * @returns stops it
+ * @param work - the work; the pause starts after it has finished
+ * @param onError - called when a run fails
+ * @param retryMs - mean pause after a failed run, in milliseconds; doubles with each consecutive failure
+ * @param maximumRetryMs - maximum mean pause after a failed run, in milliseconds
+ * @returns a function that stops the repetition
  */
 export function repeat (
   intervalMs: number, work: () => Promise<void>, onError: (thrown: unknown) => void = () => {}, retryMs = intervalMs,
-  greatestRetryMs = retryMs
+  maximumRetryMs = retryMs
 ): () => void {
   let timer: NodeJS.Timeout | undefined
   const state = { stopped: false }
   let nextRetryMs = retryMs
-  const again = async (): Promise<void> => {
+  const run = async (): Promise<void> => {
     let pauseMs = intervalMs
     try {
       await work()
       nextRetryMs = retryMs
     } catch (thrown) {
       pauseMs = nextRetryMs
-      nextRetryMs = Math.min(greatestRetryMs, nextRetryMs * 2)
+      nextRetryMs = Math.min(maximumRetryMs, nextRetryMs * 2)
       onError(thrown)
     }
     if (!state.stopped) {
-      timer = setTimeout(() => { void again() }, pauseMs * (SHORTEST_WAIT + Math.random() * WAIT_JITTER))
+      timer = setTimeout(() => { void run() }, pauseMs * (MINIMUM_PAUSE_FACTOR + Math.random() * PAUSE_JITTER))
     }
   }
-  void again()
+  void run()
   return () => {
     state.stopped = true
     clearTimeout(timer)
--- a/src/core/time/waiters.ts
+++ b/src/core/time/waiters.ts
@@ -1,48 +1,48 @@
-/** Waits for conditions that other parts of the process make true, as a long poll does. */
+/** Waits for conditions that other parts of the process fulfil, for example to answer a long poll. */
 
-/** Waits for conditions. */
+/** A set of waits that are checked together. */
 interface Waiters {
   /**
-   * Waits until a value is found, for a bounded time.
+   * Waits until a value is available, at most until the timeout.
    *
-   * @param look - looks for the value; undefined while there is none
-   * @param timeoutMs - greatest wait, in milliseconds
-   * @returns the value; undefined when there was none in time
+   * @param getValue - returns the value, or undefined while there is none
+   * @param timeoutMs - timeout, in milliseconds
+   * @returns the value, or undefined on timeout
    */
-  until: <Value>(look: () => Value | undefined, timeoutMs: number) => Promise<Value | undefined>
-  /** Makes all waits look again. */
+  until: <Value>(getValue: () => Value | undefined, timeoutMs: number) => Promise<Value | undefined>
+  /** Rechecks the conditions of all waits. */
   notify: () => void
 }
 
 /**
- * Creates a set of waits; none is in progress yet.
+ * Creates an empty set of waits.
  *
  * @returns the waiters
  */
 export function createWaiters (): Waiters {
-  const looks = new Set<() => void>()
+  const pendingChecks = new Set<() => void>()
   return {
-    until: async (look, timeoutMs) => {
-      const found = look()
+    until: async (getValue, timeoutMs) => {
+      const found = getValue()
       if (found !== undefined || timeoutMs <= 0) {
         return found
       }
       return await new Promise((resolve) => {
-        const finish = (value: ReturnType<typeof look>): void => {
+        const finish = (value: ReturnType<typeof getValue>): void => {
           clearTimeout(timer)
-          looks.delete(again)
+          pendingChecks.delete(check)
           resolve(value)
         }
-        const again = (): void => {
-          const value = look()
+        const check = (): void => {
+          const value = getValue()
           if (value !== undefined) {
             finish(value)
           }
         }
-        const timer = setTimeout(() => finish(look()), timeoutMs)
-        looks.add(again)
+        const timer = setTimeout(() => finish(getValue()), timeoutMs)
+        pendingChecks.add(check)
       })
     },
-    notify: () => [...looks].forEach((look) => look())
+    notify: () => [...pendingChecks].forEach((check) => check())
   }
 }
--- a/src/core/wire/dialer.ts
+++ b/src/core/wire/dialer.ts
@@ -1,7 +1,7 @@
-/** Opens outgoing connections. Tests replace it to cut, delay or freeze links between hosts. */
+/** Opens outgoing connections. Tests replace the dialer to drop, delay or stall connections between hosts. */
 import { connect, type Socket } from 'node:net'
 
-/** Where a connection goes. */
+/** Address and port of a TCP endpoint. */
 export interface Endpoint {
   address: string
   port: number
@@ -11,9 +11,9 @@
 export type Dialer = (endpoint: Endpoint) => Socket
 
 /**
- * Creates the dialer of a real process.
+ * Creates a dialer for TCP connections.
  *
- * @param localAddress - IP number to dial from
+ * @param localAddress - local IP address to connect from
  * @returns the dialer
  */
 export function createDialer (localAddress?: string): Dialer {
@@ -21,7 +21,7 @@
 }
 
 /**
- * Formats an endpoint.
+ * Formats an endpoint as `ip:port`.
  *
  * @param endpoint - the endpoint
  * @returns `ip:port`
@@ -31,7 +31,7 @@
 }
 
 /**
- * Reads `ip:port`.
+ * Parses `ip:port`.
  *
  * @param text - the text
  * @returns the endpoint
--- a/src/core/wire/frames.ts
+++ b/src/core/wire/frames.ts
@@ -1,70 +1,70 @@
-/** Frames on a TCP connection: a length of four bytes, then a CBOR value. */
+/** Framing of messages on a TCP connection: a length of four bytes (big-endian), then a CBOR value. */
 import { Decoder, Encoder } from 'cbor-x'
 import type { Socket } from 'node:net'
 
 const LENGTH_BYTES = 4
-/** Greatest frame between authenticated peers, in bytes. */
+/** Maximum size of a frame from an authenticated peer, in bytes. */
 export const MAXIMUM_FRAME_BYTES = 64 * 1024 * 1024
-/** Greatest frame before a peer has authenticated itself, in bytes. */
+/** Maximum size of a frame before authentication, in bytes. */
 export const MAXIMUM_HELLO_BYTES = 1024
 
 /**
- * Names that stand in nearly every frame, each sent as one or two bytes: bytes between failure domains are paid for.
- * A name keeps its number for good, new ones go to the end.
+ * Frequent field names, encoded as their number to reduce traffic between failure domains. The numbers are part of
+ * the wire format: append new names, and never reorder or remove any.
  */
-const NAMES = [
+const ABBREVIATED_KEYS = [
   'id', 'type', 'body', 'failure', 'verdict', 'entry', 'details', 'leftMs', 'inTimeMs', 'values', 'step', 'upstream',
   'priority', 'epoch', 'after', 'begin', 'transaction', 'access', 'text', 'prepared', 'shape', 'parameters', 'begun',
   'answer', 'lost', 'reason', 'load', 'leaving', 'rows', 'signature', 'kind', 'message', 'state', 'position', 'term',
   'costMs', 'ranMs', 'version', 'digest', 'ageMs', 'group', 'proofs'
 ]
-const keyMap = Object.fromEntries(NAMES.map((name, index) => [name, index + 1]))
+const keyMap = Object.fromEntries(ABBREVIATED_KEYS.map((name, index) => [name, index + 1]))
 
 const encoder = new Encoder({ useRecords: false, structuredClone: false, keyMap })
 const decoder = new Decoder({ useRecords: false, mapsAsObjects: true, keyMap })
 
-/** Reads and writes frames on one socket. */
+/** Sending side of a framed socket. */
 export interface FrameStream {
   /**
    * Sends a value.
    *
-   * @param value - anything CBOR can carry
+   * @param value - a value that CBOR can encode
    * @returns false when the socket's buffer is full
    */
   send: (value: unknown) => boolean
-  /** Raises the limit on incoming frames once the peer is authenticated. */
+  /** Raises the size limit of incoming frames; called once the peer is authenticated. */
   trust: () => void
 }
 
 /**
- * Puts frames on a socket. A frame that is too large or not CBOR destroys the socket.
+ * Reads and writes frames on a socket. A frame that is too large or malformed destroys the socket.
  *
  * @param socket - the socket
- * @param onFrame - receives each value
+ * @param onFrame - called with each decoded value
  * @returns the sending side
  */
 export function attachFrames (socket: Socket, onFrame: (value: unknown) => void): FrameStream {
   let limit = MAXIMUM_HELLO_BYTES
   let chunks: Buffer[] = []
   let buffered = 0
-  let wanted = LENGTH_BYTES
+  let bytesNeeded = LENGTH_BYTES
 
-  const takeFrames = (): void => {
+  const readFrames = (): void => {
     let data = chunks.length === 1 ? chunks[0]! : Buffer.concat(chunks)
-    wanted = LENGTH_BYTES
+    bytesNeeded = LENGTH_BYTES
     while (data.length >= LENGTH_BYTES && !socket.destroyed) {
       const length = data.readUInt32BE(0)
       if (length > limit) {
         socket.destroy(new Error(`frame of ${length} bytes exceeds the limit of ${limit}`))
         return
       }
-      wanted = LENGTH_BYTES + length
-      if (data.length < wanted) {
+      bytesNeeded = LENGTH_BYTES + length
+      if (data.length < bytesNeeded) {
         break
       }
-      const body = data.subarray(LENGTH_BYTES, wanted)
-      data = data.subarray(wanted)
-      wanted = LENGTH_BYTES
+      const body = data.subarray(LENGTH_BYTES, bytesNeeded)
+      data = data.subarray(bytesNeeded)
+      bytesNeeded = LENGTH_BYTES
       onFrame(decoder.decode(body))
     }
     chunks = data.length > 0 ? [data] : []
@@ -74,13 +74,13 @@
   socket.on('data', (chunk: Buffer) => {
     chunks.push(chunk)
     buffered += chunk.length
-    if (buffered < wanted) {
+    if (buffered < bytesNeeded) {
       return
     }
     try {
-      takeFrames()
+      readFrames()
     } catch (thrown) {
-      socket.destroy(thrown instanceof Error ? thrown : new Error('unreadable frame'))
+      socket.destroy(thrown instanceof Error ? thrown : new Error('malformed frame'))
     }
   })
 
--- a/src/core/wire/listener.ts
+++ b/src/core/wire/listener.ts
@@ -1,24 +1,24 @@
-/** Listens for TCP connections and owns the sockets that are open. */
+/** TCP listener that tracks its open connections. */
 import { createServer, type Socket } from 'node:net'
 import type { Endpoint } from './dialer.ts'
 
 /** A listening server. */
 export interface SocketListener {
-  /** Port it is bound to. */
+  /** Port the server is bound to. */
   port: number
-  /** Sockets that are open. */
+  /** Number of open connections. */
   readonly connections: number
-  /** Stops accepting connections; those open stay. */
+  /** Stops accepting connections; open ones stay. */
   stopAccepting: () => void
   /** Destroys all sockets and stops listening. */
   close: () => Promise<void>
 }
 
 /**
- * Starts listening.
+ * Starts listening for TCP connections.
  *
- * @param endpoint - where to listen; port 0 takes any free one
- * @param serve - serves an accepted socket
+ * @param endpoint - address and port to listen on; port 0 selects a free port
+ * @param serve - handles an accepted connection
  * @returns the listening server
  * @throws the error of the operating system when the port cannot be bound
  */
--- a/test/core/bounded-wait.test.ts
+++ b/test/core/bounded-wait.test.ts
@@ -8,7 +8,7 @@
   beforeEach(() => { clock = fakeTimers.install({ toFake: ['setTimeout', 'clearTimeout'] }) })
   afterEach(() => { clock.uninstall() })
 
-  it('ends when it is served, and leaves no timer', async () => {
+  it('settles with the first outcome and clears its timer', async () => {
     const wait = createBoundedWait<string>({ timeoutMs: 100, onTimeout: () => new Error('too late') })
     wait.resolve('first')
     wait.resolve('second')
@@ -16,7 +16,7 @@
     expect([await wait.result, wait.isSettled, clock.countTimers()]).toEqual(['first', true, 0])
   })
 
-  it('is rejected when its time is over, after it was taken out of its queue', async () => {
+  it('is rejected on timeout, after the handler has removed it from its queue', async () => {
     let isQueued = true
     const wait = createBoundedWait<string>({
       timeoutMs: 100,
--- a/test/core/config.test.ts
+++ b/test/core/config.test.ts
@@ -16,7 +16,7 @@
 }
 
 describe('loadFile', () => {
-  it('names the path, line and reason of each mistake', () => {
+  it('reports the path, line and reason of each mistake', () => {
     const text = 'groups:\n  member-a:\n    upstreams:\n      - name: a\n        address: 10.0.0.1\n        port: 99999\n' +
       '        failureDomain: seoul-a\n    account: { user: w, password: p }\n    limts: {}\n'
     expect(() => parseContent('file.yaml', text, declarationsSchema))
@@ -24,7 +24,7 @@
     expect(() => parseContent('file.yaml', text, declarationsSchema)).toThrow('"limts"')
   })
 
-  it('refuses limits that leave no connection, and an upstream named twice', () => {
+  it('rejects limits that leave no connection, and duplicate names of upstreams', () => {
     const upstream = '{ name: a, address: 10.0.0.1, port: 1, failureDomain: x }'
     const text = `groups:\n  g:\n    upstreams: [${upstream}, ${upstream}]\n    account: { user: w, password: p }\n` +
       '    limits: { connections: 10, reservedConnections: 10 }\n'
@@ -32,7 +32,7 @@
     expect(() => parseContent('f', text, declarationsSchema)).toThrow('leaves no connection')
   })
 
-  it('says what is wrong with a file that is not YAML or is not there', () => {
+  it('reports a malformed or missing file', () => {
     expect(() => parseContent('f', 'a: [', declarationsSchema)).toThrow('f: ')
     expect(() => loadFile('/nowhere.yaml', declarationsSchema)).toThrow('no such file')
   })
@@ -49,7 +49,7 @@
 })
 
 describe('formatFields', () => {
-  it('quotes what would be read wrongly', () => {
+  it('quotes ambiguous values and omits undefined ones', () => {
     expect(formatFields({ event: 'a.b', reason: 'two words', empty: '', gone: undefined, equals: 'a=b' }))
       .toEqual('event=a.b reason="two words" empty="" equals="a=b"')
   })
--- a/test/core/entry-settings.test.ts
+++ b/test/core/entry-settings.test.ts
@@ -6,8 +6,8 @@
 
 const ROOT = new URL('../../', import.meta.url).pathname
 
-/** Values that the platform puts into the gaps of the template. */
-const GAPS: Record<string, string> = {
+/** Values that the platform substitutes for the placeholders of the template. */
+const TEMPLATE_VALUES: Record<string, string> = {
   'node-name': 'front-1',
   ip: '10.1.0.8',
   zone: 'hall-a',
@@ -23,28 +23,28 @@
   'bounds.quota-slack': '20'
 }
 
-describe('settings of an entry process', () => {
-  it('stand complete in the example', () => {
+describe('entrySettingsSchema', () => {
+  it('accepts the example', () => {
     expect(loadFile(`${ROOT}examples/entry.yaml`, entrySettingsSchema).host.name).toEqual('front-1')
   })
 
-  it('follow from the template of the deployment', () => {
+  it('accepts the filled-in deployment template', () => {
     const template = readFileSync(`${ROOT}deploy/settings.yaml.template`, 'utf8')
-    const text = template.replace(/\{\{([^}]+)\}\}/g, (_gap, name: string) => GAPS[name] ?? `missing-${name}`)
+    const text = template.replace(/\{\{([^}]+)\}\}/g, (_gap, name: string) => TEMPLATE_VALUES[name] ?? `missing-${name}`)
     const settings = parseContent('template', text, entrySettingsSchema)
     expect(settings.listen.peers).toEqual(7440)
     expect(settings.graceSeconds).toEqual(6)
   })
 
-  it('take defaults for limits where the platform says nothing of them', () => {
+  it('applies defaults for limits that the platform leaves empty', () => {
     const template = readFileSync(`${ROOT}deploy/settings.yaml.template`, 'utf8')
     const text = template.replace(/\{\{([^}]+)\}\}/g, (_gap, name: string) =>
-      name.startsWith('bounds.quota') ? '' : GAPS[name] ?? `missing-${name}`)
+      name.startsWith('bounds.quota') ? '' : TEMPLATE_VALUES[name] ?? `missing-${name}`)
     expect(parseContent('template', text, entrySettingsSchema).limits)
       .toEqual({ windowSeconds: 5, tolerance: { part: 0, operations: 0 } })
   })
 
-  it('name the line and the path of a mistake', () => {
+  it('reports the line and the path of a mistake', () => {
     const text = readFileSync(`${ROOT}examples/entry.yaml`, 'utf8').replace('peers: 13403', 'peers: many')
     try {
       parseContent('entry.yaml', text, entrySettingsSchema)
--- a/test/core/events-page.test.ts
+++ b/test/core/events-page.test.ts
@@ -4,7 +4,7 @@
 import { events, formatEventsPage } from '../../src/core/logger/events.ts'
 
 describe('docs/EVENTS.md', () => {
-  it('is what the catalogue of events says, to which the types hold every log line', () => {
+  it('matches the catalogue of events', () => {
     const page = readFileSync(new URL('../../docs/EVENTS.md', import.meta.url), 'utf8')
     expect(Object.keys(events).length > 10).toEqual(true)
     expect(page).toEqual(formatEventsPage())
--- a/test/core/logger.test.ts
+++ b/test/core/logger.test.ts
@@ -6,12 +6,12 @@
 import { createBudgetedLogger } from '../../src/core/logger/budget.ts'
 import type { LogFields } from '../../src/core/logger/index.ts'
 
-describe('the budget of the logs', () => {
+describe('createBudgetedLogger', () => {
   let clock: Clock
   beforeEach(() => { clock = fakeTimers.install() })
   afterEach(() => { clock.uninstall() })
 
-  it('bounds the lines of an event a second, and tells how many were left out', () => {
+  it('limits the lines per second of an event, and logs how many were suppressed', () => {
     const lines: Array<[string, LogFields | undefined]> = []
     const logger = createBudgetedLogger({ log: (_level, event, fields) => { lines.push([event, fields]) } })
     for (let index = 0; index < 1000; index++) {
@@ -23,13 +23,13 @@
     expect(countOf('request.failed') > countOf('request.done')).toEqual(true)
     clock.tick(1100)
     logger.log('info', 'process.stopped')
-    const leftOut = lines.find(([event, fields]) => event === 'log.suppressed' && fields?.['of'] === 'request.done')
-    expect(leftOut?.[1]?.['lines']).toEqual(1000 - countOf('request.done'))
+    const suppressed = lines.find(([event, fields]) => event === 'log.suppressed' && fields?.['of'] === 'request.done')
+    expect(suppressed?.[1]?.['lines']).toEqual(1000 - countOf('request.done'))
   })
 })
 
-describe('the stream of the logs', () => {
-  it('never blocks on a reader that stops reading, and drops what finds no room', async () => {
+describe('createBoundedStream', () => {
+  it('does not block when the reader stops reading', async () => {
     const script = `
       import { createBoundedStream } from './src/core/logger/bounded-stream.ts'
       const stream = createBoundedStream(1)
--- a/test/core/reload-settings.test.ts
+++ b/test/core/reload-settings.test.ts
@@ -17,7 +17,7 @@
 drainMs: 7000
 `
 
-describe('reloading the settings of an entry process', () => {
+describe('reloadSettings', () => {
   let folder: string
   let file: string
   let settings: EntrySettings
@@ -42,7 +42,7 @@
     })
   }
 
-  it('applies what can apply at once, and names what waits for the next start', () => {
+  it('applies reloadable settings and names those that need a restart', () => {
     reload(`${SETTINGS.replace('7000', '9000').replace('peers: 3', 'peers: 33')}log: { level: debug }\n`)
     expect(settings.drainMs).toEqual(9000)
     expect(settings.listen.peers).toEqual(3)
@@ -50,18 +50,18 @@
     expect(lines).toEqual([{ event: 'process.reload', applied: 'drainMs,log.level', atNextStart: 'listen.peers' }])
   })
 
-  it('applies how limits are counted at once', () => {
+  it('applies the settings of limits', () => {
     reload(`${SETTINGS}limits: { windowSeconds: 7, tolerance: { part: 0.2, operations: 3 } }\n`)
     expect(settings.limits).toEqual({ windowSeconds: 7, tolerance: { part: 0.2, operations: 3 } })
     expect(lines[0]?.['atNextStart']).toEqual('none')
   })
 
-  it('says that nothing has changed', () => {
+  it('reports that nothing has changed', () => {
     reload(SETTINGS)
     expect(lines).toEqual([{ event: 'process.reload', applied: 'none', atNextStart: 'none' }])
   })
 
-  it('changes nothing when the file has a mistake, and names it', () => {
+  it('changes nothing when the file is invalid, and reports the mistake', () => {
     reload(SETTINGS.replace('drainMs: 7000', 'drainMs: -1\ngraceSeconds: 9'))
     expect(settings.graceSeconds).toEqual(6)
     expect(lines.map(({ event }) => event)).toEqual(['process.reload-refused'])
--- a/test/core/time.test.ts
+++ b/test/core/time.test.ts
@@ -8,36 +8,36 @@
 beforeEach(() => { clock = fakeTimers.install({ toFake: ['setTimeout', 'clearTimeout', 'performance'] }) })
 afterEach(() => { clock.uninstall() })
 
-describe('work that is done again and again', () => {
-  it('is tried with growing pauses while it fails, and as usual once it has succeeded', async () => {
-    const turns: number[] = []
+describe('repeat', () => {
+  it('backs off while the work fails, and returns to the interval once it succeeds', async () => {
+    const startTimes: number[] = []
     let fails = true
     const stop = repeat(10, async () => {
-      turns.push(performance.now())
+      startTimes.push(performance.now())
       if (fails) {
         throw new Error('not yet')
       }
     }, () => {}, 100, 400)
     await clock.tickAsync(3000)
-    const pauses = turns.slice(1).map((turn, index) => turn - turns[index]!)
-    // Each pause is drawn from three quarters to five quarters of its mean: 100, 200, 400, 400 ms.
+    const pauses = startTimes.slice(1).map((turn, index) => turn - startTimes[index]!)
+    // Each pause is 75% to 125% of its mean: 100, 200, 400, 400 ms.
     expect(pauses[0]! <= 125).toEqual(true)
     expect(pauses.slice(2).every((pause) => pause >= 299 && pause <= 501)).toEqual(true)
     fails = false
     await clock.tickAsync(600)
-    const before = turns.length
+    const before = startTimes.length
     await clock.tickAsync(100)
-    expect(turns.length - before >= 7).toEqual(true)
+    expect(startTimes.length - before >= 7).toEqual(true)
     stop()
     await clock.tickAsync(100)
-    const stopped = turns.length
+    const stopped = startTimes.length
     await clock.tickAsync(1000)
-    expect(turns.length).toEqual(stopped)
+    expect(startTimes.length).toEqual(stopped)
   })
 })
 
-describe('waiting for what others bring about', () => {
-  it('ends at once when it is there, when it comes, and when time runs out', async () => {
+describe('createWaiters', () => {
+  it('resolves immediately, on notification and on timeout', async () => {
     const waiters = createWaiters()
     let found: string | undefined = 'there'
     const look = (): string | undefined => found
@@ -49,8 +49,8 @@
     waiters.notify()
     expect(await waiting).toEqual('later')
     found = undefined
-    const inVain = waiters.until(look, 1000)
+    const timedOut = waiters.until(look, 1000)
     await clock.tickAsync(1000)
-    expect(await inVain).toEqual(undefined)
+    expect(await timedOut).toEqual(undefined)
   })
 })
