--- a/src/peers/ask-peer.ts
+++ b/src/peers/ask-peer.ts
@@ -1,21 +1,21 @@
-/** Asks a peer on a link that is given up when it stays silent. */
+/** Sends requests that reset the link on timeout. */
 import { RequestError } from '../core/errors/index.ts'
 import type { Endpoint } from '../core/wire/dialer.ts'
 import type { PeerClient } from './peer-client.ts'
 
 /**
- * Sends a request, and breaks the link when no answer comes in time. Only for requests that do no harm when the others
- * on the same link fail with them.
+ * Sends a request, and closes the link on timeout. All other requests on the link then fail too, so use it only on
+ * links whose requests tolerate that.
  *
- * @param client - the links
+ * @param client - client that owns the link
  * @param endpoint - the peer
  * @param type - type of the request
- * @param body - its content
- * @param timeoutMs - greatest wait, in milliseconds
+ * @param body - body of the request
+ * @param timeoutMs - timeout, in milliseconds
  * @returns the body of the answer
  * @throws RequestError `PeerUnavailable`
  */
-export async function askPeer (
+export async function requestOrDisconnect (
   client: Pick<PeerClient, 'request' | 'disconnect'>, endpoint: Endpoint, type: string, body: unknown, timeoutMs: number
 ): Promise<unknown> {
   try {
--- a/src/peers/authentication.ts
+++ b/src/peers/authentication.ts
@@ -1,10 +1,10 @@
-/** Proof between peers that both know the key, without sending it. */
+/** Mutual challenge-response authentication of peers with a shared key. */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto'
 
 const NONCE_BYTES = 16
 
 /**
- * Creates a challenge.
+ * Creates a random challenge.
  *
  * @returns random bytes
  */
@@ -13,13 +13,13 @@
 }
 
 /**
- * Answers a challenge.
+ * Computes the response to a challenge.
  *
  * @param key - the shared key
- * @param role - side that answers, so that an answer cannot be sent back to its maker
+ * @param role - side that responds; prevents reflection of a response to its sender
  * @param nonce - the challenge
- * @param host - name of the host that answers
- * @returns the proof
+ * @param host - name of the responding host
+ * @returns the proof: an HMAC of role, host and nonce
  */
 export function proveKey (key: string, role: 'client' | 'server', nonce: Uint8Array, host: string): Buffer {
   return createHmac('sha256', key).update(`${role}\0${host}\0`).update(nonce).digest()
@@ -28,10 +28,10 @@
 /**
  * Compares two proofs in constant time.
  *
- * @param expected - the right one
- * @param received - the one received
+ * @param expected - the computed proof
+ * @param actual - the received proof
  * @returns whether they are equal
  */
-export function sameProof (expected: Buffer, received: Uint8Array): boolean {
-  return expected.length === received.length && timingSafeEqual(expected, received)
+export function sameProof (expected: Buffer, actual: Uint8Array): boolean {
+  return expected.length === actual.length && timingSafeEqual(expected, actual)
 }
--- a/src/peers/index.ts
+++ b/src/peers/index.ts
@@ -1,33 +1,33 @@
-/** Plug-in `peers`: owns the links to other processes and the handlers for their requests. */
+/** Plug-in `peers`: links to other processes, and handlers for their requests. */
 import type { MemberSettings } from '../core/config/index.ts'
 import { registerPlugin } from '../core/kernel/index.ts'
 import type { Endpoint } from '../core/wire/dialer.ts'
-import { askPeer } from './ask-peer.ts'
+import { requestOrDisconnect } from './ask-peer.ts'
 import { createPeerClient, type PeerClient } from './peer-client.ts'
 import { listenForPeers } from './peer-server.ts'
 import type { PeerHandler } from './types.ts'
 
-/** Service of the plug-in. */
+/** Service of the plug-in `peers`. */
 export interface Peers {
-  /** Port on which this process answers peers. */
+  /** Port on which this process listens for peers. */
   port: number
   /** Sends a request; see {@link PeerClient.request}. */
   request: (endpoint: Endpoint, type: string, body: unknown, timeoutMs: number) => Promise<unknown>
   /**
-   * Sends a request like {@link Peers.request}, and breaks the link when no answer comes in time: after a partition a
-   * connection may stay silent for many seconds while a new one works.
+   * Sends a request like {@link Peers.request}, and closes the link on timeout: after a network partition an old
+   * connection may stall for many seconds while a new one works.
    */
   requestOrDisconnect: (endpoint: Endpoint, type: string, body: unknown, timeoutMs: number) => Promise<unknown>
-  /** Breaks the link to a peer; see {@link PeerClient.disconnect}. */
+  /** Closes the link to a peer; see {@link PeerClient.disconnect}. */
   disconnect: (endpoint: Endpoint) => void
   /**
-   * Links for callers' statements, apart from those for questions between hosts: an answer that is late there breaks
-   * the link, which must not leave a statement in doubt.
+   * Links for callers' statements. They are separate from the links for control requests, since closing those on a
+   * timeout must not leave the outcome of a statement unknown.
    */
   work: Pick<PeerClient, 'request' | 'disconnect'>
-  /** Registers the handler for a type of request. */
+  /** Registers the handler of a request type. */
   handle: (type: string, handler: PeerHandler) => void
-  /** Requests of peers in progress here. */
+  /** Number of requests of peers in progress. */
   readonly inProgress: number
 }
 
@@ -36,8 +36,8 @@
 }
 
 /**
- * Time to open a link for statements, and for which a statement waits for it, in milliseconds. The wait is short, since
- * another host can take the statement; a busy peer needs longer, and then takes the next ones.
+ * Timeout to open a link for statements, and maximum wait of a statement for the link, in milliseconds. The wait is
+ * short because another host can run the statement; a link to a busy peer opens later and serves later statements.
  */
 const WORK_CONNECT_MS = 1000
 const WORK_LINK_WAIT_MS = 200
@@ -62,7 +62,7 @@
         port: server.port,
         request: client.request,
         requestOrDisconnect: async (endpoint, type, body, timeoutMs) =>
-          await askPeer(client, endpoint, type, body, timeoutMs),
+          await requestOrDisconnect(client, endpoint, type, body, timeoutMs),
         disconnect: client.disconnect,
         work,
         handle: (type, handler) => handlers.set(type, handler),
--- a/src/peers/open-link.ts
+++ b/src/peers/open-link.ts
@@ -1,4 +1,4 @@
-/** Opens a link to a peer: connects, and proves to each other that both sides know the key. */
+/** Opens a link to a peer: connects and authenticates both sides. */
 import type { Socket } from 'node:net'
 import { RequestError, type Verdict } from '../core/errors/index.ts'
 import { attachFrames, type FrameStream } from '../core/wire/frames.ts'
@@ -11,23 +11,23 @@
   /** Name of this host. */
   host: string
   key: string
-  /** The peer's address, for errors. */
+  /** Address of the peer, for error messages. */
   peer: string
-  /** Time to connect and authenticate, in milliseconds. */
+  /** Timeout to connect and authenticate, in milliseconds. */
   connectTimeoutMs: number
-  /** Takes each reply that arrives. */
+  /** Called with each reply. */
   onReply: (link: OpenLink, reply: ReplyFrame) => void
 }
 
-/** A request that waits for its answer. */
+/** A request that waits for its reply. */
 interface PendingRequest {
   resolve: (body: unknown) => void
   reject: (error: Error) => void
   timer: NodeJS.Timeout
 }
 
-/** How far the handshake of a link has come. */
-type LinkStage = 'challenge' | 'welcome' | 'open'
+/** Next frame expected by the handshake; `open` after its completion. */
+type HandshakeStage = 'challenge' | 'welcome' | 'open'
 
 /** An authenticated link. */
 export interface OpenLink {
@@ -40,8 +40,8 @@
  * Authenticates a link on a socket that is connecting.
  *
  * @param socket - the socket
- * @param options - both sides and the time limit
- * @returns the link
+ * @param options - both sides, the key and the timeout
+ * @returns the authenticated link
  * @throws RequestError `PeerUnavailable` with verdict `not-run`
  */
 export async function openLink (
@@ -50,13 +50,13 @@
   return await new Promise((resolve, reject) => {
     const nonce = createNonce()
     const pending = new Map<number, PendingRequest>()
-    let stage: LinkStage = 'challenge'
-    const fail = (reason: string, error = unavailable(peer, reason, 'not-run')): void => {
+    let stage: HandshakeStage = 'challenge'
+    const fail = (reason: string, error = peerUnavailableError(peer, reason, 'not-run')): void => {
       clearTimeout(timer)
       socket.destroy()
       pending.forEach((request) => {
         clearTimeout(request.timer)
-        request.reject(unavailable(peer, reason, 'may-have-run'))
+        request.reject(peerUnavailableError(peer, reason, 'may-have-run'))
       })
       pending.clear()
       reject(error)
@@ -65,7 +65,7 @@
     socket.on('error', (error) => fail(error.message, connectionError(peer, error)))
     socket.once('close', () => fail('the link was closed'))
 
-    const stages: Record<LinkStage, (value: unknown) => void> = {
+    const frameHandlers: Record<HandshakeStage, (value: unknown) => void> = {
       challenge: (value) => {
         const challenge = challengeSchema.parse(value)
         frames.send({ type: 'hello', host, proof: proveKey(key, 'client', challenge.nonce, host), nonce })
@@ -84,23 +84,23 @@
       },
       open: (value) => onReply(link, replyFrameSchema.parse(value))
     }
-    const frames = attachFrames(socket, (value) => stages[stage](value))
+    const frames = attachFrames(socket, (value) => frameHandlers[stage](value))
     const link: OpenLink = { socket, frames, pending }
   })
 }
 
 function connectionError (peer: string, { code, message }: NodeJS.ErrnoException): RequestError<'PeerUnavailable'> {
-  return code === 'ECONNREFUSED' ? new PeerNotRunning(peer, message) : unavailable(peer, message, 'not-run')
+  return code === 'ECONNREFUSED' ? new PeerNotRunning(peer, message) : peerUnavailableError(peer, message, 'not-run')
 }
 
 /**
  * Builds the error for a peer that did not serve a request.
  *
- * @param peer - its address
- * @param reason - why
+ * @param peer - address of the peer
+ * @param reason - cause, shown in the message
  * @param verdict - whether the request may have run
  * @returns the error
  */
-export function unavailable (peer: string, reason: string, verdict: Verdict): RequestError<'PeerUnavailable'> {
+export function peerUnavailableError (peer: string, reason: string, verdict: Verdict): RequestError<'PeerUnavailable'> {
   return new RequestError(verdict, 'PeerUnavailable', { peer, reason })
 }
--- a/src/peers/peer-client.ts
+++ b/src/peers/peer-client.ts
@@ -1,9 +1,9 @@
-/** The asking side of peer links: one link to each peer, many requests at a time. */
+/** Client side of peer links: one link to each peer, with concurrent requests. */
 import type { Socket } from 'node:net'
 import { RequestError, type ErrorDetails, type ErrorName } from '../core/errors/index.ts'
 import { TIMED_OUT, withTimeout } from '../core/time/deadline.ts'
 import { formatEndpoint, type Dialer, type Endpoint } from '../core/wire/dialer.ts'
-import { openLink, unavailable, type OpenLink } from './open-link.ts'
+import { openLink, peerUnavailableError, type OpenLink } from './open-link.ts'
 import type { ReplyFrame } from './types.ts'
 
 /** Options of {@link createPeerClient}. */
@@ -11,66 +11,66 @@
   host: string
   key: string
   dialer: Dialer
-  /** Time to connect and authenticate, in milliseconds. */
+  /** Timeout to connect and authenticate, in milliseconds. */
   connectTimeoutMs?: number
   /**
-   * Greatest time for which a request waits for its link, in milliseconds. The attempt goes on without it, for the next
-   * ones: one that is given up has cost a busy peer as much as one that succeeds.
+   * Maximum time a request waits for its link, in milliseconds. The link continues to open for later requests, since
+   * an aborted attempt costs a busy peer as much as a successful one.
    */
   linkWaitMs?: number
 }
 
-/** Asks peers. */
+/** Sends requests to peers. */
 export interface PeerClient {
   /**
-   * Sends a request and waits for its answer.
+   * Sends a request and waits for its reply.
    *
    * @param endpoint - the peer
    * @param type - type of the request
-   * @param body - its content
-   * @param timeoutMs - greatest wait; an answer that comes later is dropped
-   * @returns the body of the answer
-   * @throws RequestError with verdict `not-run` when it was not sent, `may-have-run` when the answer is missing
+   * @param body - body of the request
+   * @param timeoutMs - timeout, in milliseconds; a later reply is dropped
+   * @returns the body of the reply
+   * @throws RequestError with verdict `not-run` when it was not sent, `may-have-run` when no reply arrived
    */
   request: (endpoint: Endpoint, type: string, body: unknown, timeoutMs: number) => Promise<unknown>
   /**
-   * Breaks the link to a peer, so that what waits for it fails now.
+   * Closes the link to a peer; its pending requests fail immediately.
    *
    * @param endpoint - the peer
    */
   disconnect: (endpoint: Endpoint) => void
-  /** Answers that came after their request was given up. */
+  /** Number of replies that arrived after their request had timed out. */
   readonly lateAnswers: number
-  /** Open links. */
+  /** Number of links that are open or being opened. */
   readonly links: number
   close: () => void
 }
 
-/** Time to connect and authenticate, in milliseconds. */
+/** Default timeout to connect and authenticate, in milliseconds. */
 const CONNECT_TIMEOUT_MS = 500
 
 /**
- * Links kept open; the least recently used is closed beyond that. A host of 195 passes statements on to about a hundred
- * homes. Opening a link takes 1.3 ms of processor time at both ends together, and an idle one 13 KB at each.
+ * Maximum number of links; beyond it the least recently used ones are closed when idle. It exceeds the number of homes
+ * that a host forwards statements to: an idle link costs only memory, opening one costs processor time.
  */
-const KEPT_LINKS = 160
+const MAXIMUM_LINKS = 160
 
 /** A link that is open or being opened. */
-interface KnownLink {
+interface LinkEntry {
   opening: Promise<OpenLink>
-  /** Given once it is open. */
+  /** Set once the link is open. */
   opened?: OpenLink
 }
 
 /**
- * Creates the asking side.
+ * Creates a client.
  *
  * @param options - identity, key and dialer
- * @returns the client; links are opened when needed
+ * @returns the client; links are opened on demand
  */
 export function createPeerClient (options: PeerClientOptions): PeerClient {
   const { connectTimeoutMs = CONNECT_TIMEOUT_MS, linkWaitMs = connectTimeoutMs } = options
-  const links = new Map<string, KnownLink>()
+  const links = new Map<string, LinkEntry>()
   const sockets = new Set<Socket>()
   let nextId = 1
   let lateAnswers = 0
@@ -84,36 +84,36 @@
       key: options.key,
       peer: name,
       connectTimeoutMs,
-      onReply: (link, reply) => { lateAnswers += settle(link, reply) ? 0 : 1 }
+      onReply: (link, reply) => { lateAnswers += settleRequest(link, reply) ? 0 : 1 }
     })
   }
 
-  const linkTo = (endpoint: Endpoint, name: string): KnownLink => {
-    const existing = links.get(name)
-    if (existing !== undefined) {
+  const getOrOpenLink = (endpoint: Endpoint, name: string): LinkEntry => {
+    const existingEntry = links.get(name)
+    if (existingEntry !== undefined) {
       links.delete(name)
-      links.set(name, existing)
-      return existing
+      links.set(name, existingEntry)
+      return existingEntry
     }
-    const link: KnownLink = { opening: open(endpoint, name) }
+    const link: LinkEntry = { opening: open(endpoint, name) }
     links.set(name, link)
-    const forget = (): void => {
+    const removeEntry = (): void => {
       if (links.get(name) === link) {
         links.delete(name)
       }
     }
     link.opening.then((opened) => {
       link.opened = opened
-      opened.socket.once('close', forget)
-    }, forget)
+      opened.socket.once('close', removeEntry)
+    }, removeEntry)
     void closeIdleLinks(links)
     return link
   }
 
-  const waitForLink = async ({ opening }: KnownLink, name: string): Promise<OpenLink> => {
+  const waitForLink = async ({ opening }: LinkEntry, name: string): Promise<OpenLink> => {
     const link = await withTimeout(opening, linkWaitMs)
     if (link === TIMED_OUT) {
-      throw unavailable(name, 'no answer to the connection attempt', 'not-run')
+      throw peerUnavailableError(name, 'no answer to the connection attempt', 'not-run')
     }
     return link
   }
@@ -123,13 +123,13 @@
     get links () { return links.size },
     request: async (endpoint, type, body, timeoutMs) => {
       const name = formatEndpoint(endpoint)
-      const known = linkTo(endpoint, name)
+      const known = getOrOpenLink(endpoint, name)
       const link = known.opened ?? await waitForLink(known, name)
       return await new Promise((resolve, reject) => {
         const id = nextId++
         const timer = setTimeout(() => {
           link.pending.delete(id)
-          reject(unavailable(name, 'no answer in time', 'may-have-run'))
+          reject(peerUnavailableError(name, 'no answer in time', 'may-have-run'))
         }, timeoutMs)
         link.pending.set(id, { resolve, reject, timer })
         link.frames.send({ id, type, body })
@@ -142,9 +142,9 @@
   }
 }
 
-async function closeIdleLinks (links: Map<string, KnownLink>): Promise<void> {
-  for (const { opening } of [...links.values()].slice(0, Math.max(0, links.size - KEPT_LINKS))) {
-    // A link that could not be opened has no connection to close; its requests have failed with the reason.
+async function closeIdleLinks (links: Map<string, LinkEntry>): Promise<void> {
+  for (const { opening } of [...links.values()].slice(0, Math.max(0, links.size - MAXIMUM_LINKS))) {
+    // A link that failed to open has no connection to close, and its requests have already failed.
     const link = await opening.catch(() => undefined)
     if (link?.pending.size === 0) {
       link.socket.destroy()
@@ -152,11 +152,11 @@
   }
 }
 
-/** A link that could not be opened needs no closing; its requests have failed with the reason. */
+/** Ignores the error of a link that failed to open: its requests have already failed. */
 function ignoreFailedLink (): void {}
 
-/** Settles the request that a reply belongs to; false when it has been given up. */
-function settle (link: OpenLink, { id, body, failure }: ReplyFrame): boolean {
+/** Settles the request of a reply; returns false if the request has timed out. */
+function settleRequest (link: OpenLink, { id, body, failure }: ReplyFrame): boolean {
   const pending = link.pending.get(id)
   if (pending === undefined) {
     return false
--- a/src/peers/peer-server.ts
+++ b/src/peers/peer-server.ts
@@ -1,4 +1,4 @@
-/** The answering side of peer links. */
+/** Server side of peer links. */
 import type { Socket } from 'node:net'
 import { toRequestError } from '../core/errors/index.ts'
 import type { Logger } from '../core/logger/index.ts'
@@ -21,17 +21,17 @@
 /** A listening peer server. */
 interface PeerServer {
   port: number
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   readonly inProgress: number
   readonly links: number
   close: () => Promise<void>
 }
 
-/** Time for the handshake, in milliseconds. */
+/** Timeout of the handshake, in milliseconds. */
 const HANDSHAKE_TIMEOUT_MS = 2000
 
 /**
- * Starts listening.
+ * Starts listening for peers.
  *
  * @param options - address, key and handlers
  * @returns the server
@@ -55,13 +55,13 @@
     get host () { return peerHost ?? '' },
     onClose: (listener) => { socket.once('close', listener) }
   }
-  const timer = setTimeout(() => socket.destroy(new Error('no handshake')), HANDSHAKE_TIMEOUT_MS)
+  const timer = setTimeout(() => socket.destroy(new Error('handshake timed out')), HANDSHAKE_TIMEOUT_MS)
   socket.once('close', () => clearTimeout(timer))
   socket.on('error', (error) => logger.log('warn', 'peer.link-error', {
     peer: peerHost ?? socket.remoteAddress, reason: error.message
   }))
 
-  const greet = (value: unknown): void => {
+  const handleHello = (value: unknown): void => {
     const hello = helloSchema.parse(value)
     if (!sameProof(proveKey(key, 'client', nonce, hello.host), hello.proof)) {
       logger.log('warn', 'peer.refused', { peer: hello.host, reason: 'wrong key' })
@@ -76,19 +76,19 @@
 
   const frames: FrameStream = attachFrames(socket, (value) => {
     if (peerHost === undefined) {
-      greet(value)
+      handleHello(value)
       return
     }
     const { id, type, body } = requestFrameSchema.parse(value)
     progress.count++
-    void answer(options, type, body, link)
+    void handleRequest(options, type, body, link)
       .then((reply) => frames.send({ ...reply, id }))
       .finally(() => { progress.count-- })
   })
   frames.send({ type: 'challenge', nonce })
 }
 
-async function answer (
+async function handleRequest (
   { handlers }: PeerServerOptions, type: string, body: unknown, link: Parameters<PeerHandler>[1]
 ): Promise<Omit<ReplyFrame, 'id'>> {
   try {
--- a/src/peers/refusal.ts
+++ b/src/peers/refusal.ts
@@ -1,7 +1,7 @@
-/** Distinguishes a peer that does not run from one that does not answer. */
+/** Distinguishes a peer that is not running from one that does not answer. */
 import { RequestError } from '../core/errors/index.ts'
 
-/** The peer's address refused the connection: no process listens there. Nothing was sent. */
+/** The connection was refused, so no process listens at the address and nothing was sent. */
 export class PeerNotRunning extends RequestError<'PeerUnavailable'> {
   constructor (peer: string, reason: string) {
     super('not-run', 'PeerUnavailable', { peer, reason })
@@ -9,9 +9,9 @@
 }
 
 /**
- * Says whether a failed request to a peer shows that no process listens there.
+ * Tests whether a request failed because the connection was refused.
  *
- * @param thrown - the failure
+ * @param thrown - the error of the request
  * @returns whether the connection was refused
  */
 export function isConnectionRefused (thrown: unknown): boolean {
--- a/src/peers/types.ts
+++ b/src/peers/types.ts
@@ -1,10 +1,10 @@
-/** Frames between peers. */
+/** Schemas of the frames between peers. */
 import * as z from 'zod'
 
-/** First frame of the accepting side. */
+/** First frame of the handshake, sent by the server. */
 export const challengeSchema = z.object({ type: z.literal('challenge'), nonce: z.instanceof(Uint8Array) })
 
-/** Answer of the connecting side: who it is, proof that it knows the key, and a challenge of its own. */
+/** Second frame, sent by the client: its name, its response to the challenge, and a challenge for the server. */
 export const helloSchema = z.object({
   type: z.literal('hello'),
   host: z.string().min(1).max(200),
@@ -12,13 +12,13 @@
   nonce: z.instanceof(Uint8Array)
 })
 
-/** Last frame of the handshake: proof of the accepting side. */
+/** Last frame of the handshake: the response of the server. */
 export const welcomeSchema = z.object({ type: z.literal('welcome'), host: z.string(), proof: z.instanceof(Uint8Array) })
 
-/** A request, numbered by the asking side. */
+/** A request; the client assigns the id. */
 export const requestFrameSchema = z.object({ id: z.number().int(), type: z.string(), body: z.unknown() })
 
-/** Answer to the request with the same number: a body, or a failure. */
+/** Reply to the request with the same id: a body or a failure. */
 export const replyFrameSchema = z.object({
   id: z.number().int(),
   body: z.unknown().optional(),
@@ -29,16 +29,15 @@
   }).optional()
 })
 
-/** A reply frame. */
 export type ReplyFrame = z.infer<typeof replyFrameSchema>
 
-/** The link a request came over. */
+/** The link on which a request arrived. */
 export interface PeerLink {
-  /** Host at the other end. */
+  /** Name of the peer's host. */
   host: string
-  /** Calls back once when the link is gone. */
+  /** Calls the listener once when the link closes. */
   onClose: (listener: () => void) => void
 }
 
-/** Handles the requests of one type. */
+/** Handles requests of a type; returns the body of the reply. */
 export type PeerHandler = (body: unknown, link: PeerLink) => Promise<unknown>
--- a/test/peers/ask-peer.test.ts
+++ b/test/peers/ask-peer.test.ts
@@ -1,7 +1,7 @@
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { RequestError, type Verdict } from '../../src/core/errors/index.ts'
-import { askPeer } from '../../src/peers/ask-peer.ts'
+import { requestOrDisconnect } from '../../src/peers/ask-peer.ts'
 
 const ENDPOINT = { address: '127.0.0.1', port: 1 }
 
@@ -11,15 +11,15 @@
     request: async () => { throw new RequestError(verdict, 'PeerUnavailable', { peer: 'p', reason: 'no answer in time' }) },
     disconnect: () => { broken = true }
   }
-  await expect(askPeer(client, ENDPOINT, 'x', {}, 1)).toBeRejected()
+  await expect(requestOrDisconnect(client, ENDPOINT, 'x', {}, 1)).toBeRejected()
   return broken
 }
 
-describe('asking a peer', () => {
-  it('breaks a link that stays silent, so that the next question opens a new one', async () => {
+describe('requestOrDisconnect', () => {
+  it('closes the link on timeout, so that the next request opens a new one', async () => {
     expect(await breaksLink('may-have-run')).toEqual(true)
   })
-  it('has nothing to break when the link could not be opened', async () => {
+  it('closes nothing when the link could not be opened', async () => {
     expect(await breaksLink('not-run')).toEqual(false)
   })
 })
--- a/test/peers/peer-client.test.ts
+++ b/test/peers/peer-client.test.ts
@@ -11,52 +11,52 @@
 
 const KEY = 'a-key-for-all-the-tests'
 const ADDRESS = '127.0.0.1'
-/** Wait for a link, in milliseconds: the peer stays busy until the test lets it go on. */
+/** Maximum wait for a link, in milliseconds; the test delays the peer for longer. */
 const LINK_WAIT_MS = 20
 const REQUEST_MS = 5000
-/** Tries of a request while the link is opened. */
-const TRIES = 100
+/** Maximum attempts of a request while the link opens. */
+const MAXIMUM_ATTEMPTS = 100
 
-describe('a link to a busy peer', () => {
+describe('createPeerClient with a busy peer', () => {
   let peer: Awaited<ReturnType<typeof listenForPeers>>
-  let gate: Server
+  let delayingServer: Server
   let endpoint: Endpoint
-  let held: Socket[]
+  let pendingSockets: Socket[]
   let connections: number
   const dial = createDialer()
 
   beforeEach(async () => {
     const handlers = new Map<string, PeerHandler>([['echo', async (body) => body]])
     peer = await listenForPeers({ host: 'busy', key: KEY, handlers, address: ADDRESS, port: 0, logger: silentLogger })
-    held = []
+    pendingSockets = []
     connections = 0
-    gate = createServer((socket) => {
+    delayingServer = createServer((socket) => {
       connections++
-      held.push(socket)
+      pendingSockets.push(socket)
     })
-    await new Promise<void>((resolve) => { gate.listen(0, ADDRESS, resolve) })
-    endpoint = { address: ADDRESS, port: (gate.address() as AddressInfo).port }
+    await new Promise<void>((resolve) => { delayingServer.listen(0, ADDRESS, resolve) })
+    endpoint = { address: ADDRESS, port: (delayingServer.address() as AddressInfo).port }
   })
   afterEach(async () => {
-    held.forEach((socket) => socket.destroy())
-    await new Promise((resolve) => { gate.close(resolve) })
+    pendingSockets.forEach((socket) => socket.destroy())
+    await new Promise((resolve) => { delayingServer.close(resolve) })
     await peer.close()
   })
-  const letGoOn = (): void => held.forEach((socket) => {
-    const onward = dial({ address: ADDRESS, port: peer.port })
-    socket.pipe(onward).pipe(socket)
+  const connectToPeer = (): void => pendingSockets.forEach((socket) => {
+    const peerSocket = dial({ address: ADDRESS, port: peer.port })
+    socket.pipe(peerSocket).pipe(socket)
   })
 
-  it('is opened further when a request no longer waits for it, and takes the next ones', async () => {
+  it('keeps opening a link after a request stopped waiting, and uses it for later requests', async () => {
     const client = createPeerClient({
       host: 'asker', key: KEY, dialer: dial, connectTimeoutMs: REQUEST_MS, linkWaitMs: LINK_WAIT_MS
     })
     const ask = async (): Promise<unknown> => await client.request(endpoint, 'echo', { value: 1 }, REQUEST_MS)
     const first = await ask().catch((thrown: unknown) => thrown)
     expect((first as RequestError).verdict).toEqual('not-run')
-    letGoOn()
+    connectToPeer()
     let answer: unknown
-    for (let tries = 0; answer === undefined && tries < TRIES; tries++) {
+    for (let attempts = 0; answer === undefined && attempts < MAXIMUM_ATTEMPTS; attempts++) {
       answer = await ask().catch(() => undefined)
     }
     expect(answer).toEqual({ value: 1 })
