--- a/src/metrics/index.ts
+++ b/src/metrics/index.ts
@@ -1,40 +1,40 @@
-/** Plug-in `metrics`: times of requests in histograms, shown as Prometheus text and in dumps. */
+/** Plug-in `metrics`: counters, gauges and latency histograms in a Prometheus registry. */
 import { Gauge, Registry } from 'prom-client'
 import { registerPlugin } from '../core/kernel/index.ts'
-import { createHistogram, createTiming, OTHER_LABEL, readQuantiles, recordTime, type Timing } from './timings.ts'
+import { createHistogram, createTiming, OTHER_LABEL, readQuantiles, recordDuration, type Timing } from './timings.ts'
 
-/** Service of the plug-in. */
+/** Service of the plug-in `metrics`. */
 export interface Metrics {
   registry: Registry
   /**
-   * Records a request of a caller.
+   * Records a completed request of a caller.
    *
    * @param outcome - `done`, or the name of the error
-   * @param durationMs - its time, in milliseconds
+   * @param durationMs - duration, in milliseconds
    */
   recordRequest: (outcome: string, durationMs: number) => void
   /**
-   * Shows numbers that others count.
+   * Registers a gauge whose values are read on collection.
    *
    * @param name - name of the metric
-   * @param help - what it is
-   * @param read - returns the numbers by label
+   * @param help - description of the metric
+   * @param read - returns the values by label
    */
   registerGauge: (name: string, help: string, read: () => Record<string, number>) => void
   /**
-   * Shows times by label, as quantiles and counts.
+   * Registers durations by label, exposed as quantiles and counts.
    *
    * @param name - name of the metric
-   * @param help - what it is
-   * @returns records the times
+   * @param help - description of the metric
+   * @returns a function that records a duration
    */
   registerTiming: (name: string, help: string) => Timing['record']
   /**
-   * Shows a counter by label.
+   * Registers a counter by label.
    *
    * @param name - name of the metric
-   * @param help - what it is
-   * @returns counts one under a label
+   * @param help - description of the metric
+   * @returns a function that increments the counter of a label
    */
   registerCounter: (name: string, help: string) => (label: string) => void
 }
@@ -43,7 +43,7 @@
   interface Services { metrics: Metrics }
 }
 
-/** Labels that one counter may have. */
+/** Maximum number of labels of a counter; further ones are counted under {@link OTHER_LABEL}. */
 const MAXIMUM_COUNTED_LABELS = 64
 
 registerPlugin({
@@ -55,7 +55,7 @@
     const histogram = createHistogram(2)
     const readRequestTimes = (): Record<string, number> => Object.fromEntries(readQuantiles(histogram))
 
-    const expose: Metrics['registerGauge'] = (name, help, read) => {
+    const registerGauge: Metrics['registerGauge'] = (name, help, read) => {
       const gauge = new Gauge({
         name,
         help,
@@ -67,31 +67,31 @@
         }
       })
     }
-    const time: Metrics['registerTiming'] = (name, help) => {
+    const registerTiming: Metrics['registerTiming'] = (name, help) => {
       const timing = createTiming()
-      expose(name, help, timing.read)
+      registerGauge(name, help, timing.read)
       return timing.record
     }
-    const count: Metrics['registerCounter'] = (name, help) => {
+    const registerCounter: Metrics['registerCounter'] = (name, help) => {
       const counts = new Map<string, number>()
-      expose(name, help, () => Object.fromEntries(counts))
+      registerGauge(name, help, () => Object.fromEntries(counts))
       return (label) => {
         const bounded = counts.has(label) || counts.size < MAXIMUM_COUNTED_LABELS ? label : OTHER_LABEL
         counts.set(bounded, (counts.get(bounded) ?? 0) + 1)
       }
     }
-    expose('worksward_request_milliseconds', 'Time of callers\' requests, by quantile', readRequestTimes)
-    expose('worksward_requests', 'Callers\' requests, by outcome', () => Object.fromEntries(outcomes))
+    registerGauge('worksward_request_milliseconds', 'Time of callers\' requests, by quantile', readRequestTimes)
+    registerGauge('worksward_requests', 'Callers\' requests, by outcome', () => Object.fromEntries(outcomes))
 
     return {
       service: {
         registry,
-        registerGauge: expose,
-        registerTiming: time,
-        registerCounter: count,
+        registerGauge,
+        registerTiming,
+        registerCounter,
         recordRequest: (outcome, durationMs) => {
           outcomes.set(outcome, (outcomes.get(outcome) ?? 0) + 1)
-          recordTime(histogram, durationMs)
+          recordDuration(histogram, durationMs)
         }
       },
       dump: () => ({ requests: Object.fromEntries(outcomes), milliseconds: readRequestTimes() })
--- a/test/metrics/timings.test.ts
+++ b/test/metrics/timings.test.ts
@@ -2,8 +2,8 @@
 import { expect } from 'earl'
 import { createTiming, OTHER_LABEL } from '../../src/metrics/timings.ts'
 
-describe('timings', () => {
-  it('show count and quantiles by label', () => {
+describe('createTiming', () => {
+  it('reports count and quantiles by label', () => {
     const timing = createTiming()
     for (let index = 0; index < 100; index++) {
       timing.record('read done', index < 95 ? 10 : 1000)
@@ -14,7 +14,7 @@
     expect(Math.abs(shown['read done 0.99']! - 1000) < 100).toEqual(true)
   })
 
-  it('keep a bounded set of labels', () => {
+  it('limits the number of labels', () => {
     const timing = createTiming()
     for (let index = 0; index < 200; index++) {
       timing.record(`label-${index}`, 1)
