--- a/src/entry/freshness/peers-asked.ts
+++ b/src/entry/freshness/peers-asked.ts
@@ -3,7 +3,7 @@
  * first {@link FIRST_ROUND_SIZE} are asked before the rest. A home nearly always has a proof or can obtain one; the
  * other peers help when a partition separates this host from the homes.
  */
-import { chooseSome } from '../../core/random.ts'
+import { sampleItems } from '../../core/random.ts'
 import type { KnownHost } from '../registry/index.ts'
 
 /** Number of peers that are asked for a proof, or more if the primary has more homes. */
@@ -28,7 +28,7 @@
 export function chooseProofPeers (homes: KnownHost[], peers: KnownHost[], self: string): ProofPeers {
   const isHome = new Set(homes.map(({ name }) => name))
   const others = peers.filter(({ name }) => !isHome.has(name))
-  const otherHomes = chooseSome(homes.filter(({ name }) => name !== self), homes.length)
-  const chosen = [...otherHomes, ...chooseSome(others, PEER_COUNT)].slice(0, Math.max(PEER_COUNT, otherHomes.length))
+  const otherHomes = sampleItems(homes.filter(({ name }) => name !== self), homes.length)
+  const chosen = [...otherHomes, ...sampleItems(others, PEER_COUNT)].slice(0, Math.max(PEER_COUNT, otherHomes.length))
   return { first: chosen.slice(0, FIRST_ROUND_SIZE), rest: chosen.slice(FIRST_ROUND_SIZE) }
 }
--- a/src/entry/freshness/proof-exchange.ts
+++ b/src/entry/freshness/proof-exchange.ts
@@ -20,7 +20,7 @@
 /** Options of {@link createProofExchange}. */
 interface ProofExchangeOptions {
   registry: Pick<Registry, 'peers' | 'self'>
-  peers: Pick<Peers, 'ask' | 'handle'>
+  peers: Pick<Peers, 'requestOrDisconnect' | 'handle'>
   logger: Logger
   of: (group: string) => GroupFreshness
 }
@@ -74,7 +74,7 @@
     // The reply is created after this time, so ages counted from here never make a proof appear too recent.
     const askedAt = performance.now()
     try {
-      const { epoch, proofs } = proofResponseSchema.parse(await peers.ask(
+      const { epoch, proofs } = proofResponseSchema.parse(await peers.requestOrDisconnect(
         peer, 'freshness-proofs', { group, ageMs: askedAt - since }, ANSWER_TIMEOUT_MS))
       proofs.forEach(({ position, ageMs }) => of(group).record(epoch, askedAt - ageMs, position))
     } catch (thrown) {
--- a/src/entry/homes/home-watch.ts
+++ b/src/entry/homes/home-watch.ts
@@ -8,7 +8,7 @@
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
-import { TIMED_OUT, within } from '../../core/time/deadline.ts'
+import { TIMED_OUT, withTimeout } from '../../core/time/deadline.ts'
 import type { Peers } from '../../peers/index.ts'
 import type { KnownHost } from '../registry/index.ts'
 import type { HomeSelector } from './home-choice.ts'
@@ -100,7 +100,7 @@
     }
   }
   const suspectUnlessAnswered = async (home: KnownHost, answer: Promise<boolean>): Promise<boolean> => {
-    const inTime = await within(answer, SUSPECT_AFTER_MS)
+    const inTime = await withTimeout(answer, SUSPECT_AFTER_MS)
     if (inTime === TIMED_OUT) {
       recordSilence(home)
       const silentMs = Math.round(performance.now() - selector.lastAnswerAt(home))
--- a/src/entry/leadership/extensions.ts
+++ b/src/entry/leadership/extensions.ts
@@ -30,7 +30,7 @@
 /** Options of {@link createExtensions}. */
 interface ExtensionOptions {
   registry: Pick<Registry, 'self' | 'current' | 'peers' | 'confirmedAgeMs'>
-  peers: Pick<Peers, 'ask' | 'handle'>
+  peers: Pick<Peers, 'requestOrDisconnect' | 'handle'>
   primaryLeases: Pick<PrimaryLeases, 'closeEpoch' | 'closedEpochs' | 'recordExtension'>
   logger: Logger
 }
@@ -52,7 +52,7 @@
   const requestGrant = async (peer: KnownHost): Promise<boolean> => {
     try {
       const request = { host: registry.self.name, process: registry.self.process }
-      const { granted, closed } = grantSchema.parse(await peers.ask(peer, 'extend', request, GRANT_TIMEOUT_MS))
+      const { granted, closed } = grantSchema.parse(await peers.requestOrDisconnect(peer, 'extend', request, GRANT_TIMEOUT_MS))
       closed.forEach(({ group, epoch }) => primaryLeases.closeEpoch(group, epoch))
       return granted
     } catch (thrown) {
--- a/src/entry/leadership/promotion-lease.ts
+++ b/src/entry/leadership/promotion-lease.ts
@@ -6,7 +6,7 @@
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import type { Peers } from '../../peers/index.ts'
-import { isRefusal } from '../../peers/refusal.ts'
+import { isConnectionRefused } from '../../peers/refusal.ts'
 import { registryKeys, type PromotionLeaseRow, type Registry } from '../registry/index.ts'
 import { HOST_REQUEST_TIMEOUT_MS } from './probe-times.ts'
 
@@ -24,7 +24,7 @@
 /** Options of {@link createPromotionLease}. */
 interface PromotionLeaseOptions {
   registry: Registry
-  peers: Pick<Peers, 'ask'>
+  peers: Pick<Peers, 'requestOrDisconnect'>
   logger: Logger
 }
 
@@ -96,10 +96,10 @@
     return true
   }
   try {
-    await peers.ask(row, 'neighbour', {}, HOST_REQUEST_TIMEOUT_MS)
+    await peers.requestOrDisconnect(row, 'neighbour', {}, HOST_REQUEST_TIMEOUT_MS)
     return false
   } catch (thrown) {
-    return isRefusal(thrown)
+    return isConnectionRefused(thrown)
   }
 }
 
--- a/src/entry/leadership/reach-questions.ts
+++ b/src/entry/leadership/reach-questions.ts
@@ -2,11 +2,11 @@
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
 import type { Directory } from '../directory/index.ts'
-import { chooseSome } from '../../core/random.ts'
+import { sampleItems } from '../../core/random.ts'
 import type { Homes } from '../homes/index.ts'
 import type { Peers } from '../../peers/index.ts'
 import type { Pools } from '../pools/index.ts'
-import { isRefusal } from '../../peers/refusal.ts'
+import { isConnectionRefused } from '../../peers/refusal.ts'
 import type { KnownHost, Registry } from '../registry/index.ts'
 import { PROBE_TIMEOUT_MS } from './probe-times.ts'
 import { countAnswers, shouldReplacePrimary, type ReachAnswer } from './reach.ts'
@@ -28,7 +28,7 @@
   directory: Pick<Directory, 'get'>
   pools: Pick<Pools, 'of' | 'probe'>
   homes: Pick<Homes, 'of'>
-  peers: Pick<Peers, 'ask' | 'handle'>
+  peers: Pick<Peers, 'requestOrDisconnect' | 'handle'>
   logger: Logger
 }
 
@@ -56,11 +56,11 @@
   }
   const askPeer = async (peer: KnownHost, upstream: string): Promise<ReachAnswer> => {
     try {
-      const { reached } = reachResponseSchema.parse(await peers.ask(peer, 'reach', { upstream }, REACH_TIMEOUT_MS))
+      const { reached } = reachResponseSchema.parse(await peers.requestOrDisconnect(peer, 'reach', { upstream }, REACH_TIMEOUT_MS))
       return reached ? 'reached' : 'lost'
     } catch (thrown) {
       logger.log('debug', 'leadership.peer-silent', { peer: peer.name, reason: describeThrown(thrown) })
-      return isRefusal(thrown) ? 'not-running' : 'silent'
+      return isConnectionRefused(thrown) ? 'not-running' : 'silent'
     }
   }
   peers.handle('reach', async (body) => ({ reached: await canReach(reachRequestSchema.parse(body).upstream) }))
@@ -73,7 +73,7 @@
     const isHome = (peer: KnownHost): boolean => homeNames.has(peer.name)
     const homePeers = knownPeers.filter(isHome)
     const others = knownPeers.filter((peer) => !isHome(peer))
-    return [...homePeers, ...chooseSome(others, Math.max(0, REACH_SAMPLE_SIZE - homePeers.length))]
+    return [...homePeers, ...sampleItems(others, Math.max(0, REACH_SAMPLE_SIZE - homePeers.length))]
   }
 
   return {
--- a/src/entry/limits/index.ts
+++ b/src/entry/limits/index.ts
@@ -37,7 +37,7 @@
 
 registerPlugin({
   name: 'limits',
-  needs: ['registry', 'homes', 'peers', 'desiredState', 'metrics'],
+  dependencies: ['registry', 'homes', 'peers', 'desiredState', 'metrics'],
   start: (context) => {
     const { use, logger } = context
     const registry = use('registry')
@@ -45,7 +45,7 @@
     const { work: links, handle } = use('peers')
     const desiredState = use('desiredState')
     const metrics = use('metrics')
-    const count = metrics.count('worksward_limit_questions', 'Questions to hosts that keep limits, by outcome')
+    const count = metrics.registerCounter('worksward_limit_questions', 'Questions to hosts that keep limits, by outcome')
     const version = (): number => desiredState.current?.version ?? -1
     const limitOf = (organisation: string): OperationLimit | undefined =>
       desiredState.current?.organisations.get(organisation)?.limit
@@ -69,7 +69,7 @@
       requesters.record(link.host)
       return await answerGrantRequest(body, { grantLocally, version, reach: desiredState.ensureVersion })
     })
-    metrics.expose(
+    metrics.registerGauge(
       'worksward_limit_granted', 'Operations granted by this host as the one that keeps limits',
       () => grantedByOrganisation(owner.owned()))
 
--- a/src/entry/pools/statement-queue.ts
+++ b/src/entry/pools/statement-queue.ts
@@ -92,11 +92,11 @@
       }
     })
     void queue.add(async () => {
-      if (turn.isOver) {
+      if (turn.isSettled) {
         return
       }
       waiting.delete(statement)
-      await new Promise<void>((resolve) => turn.serve(resolve))
+      await new Promise<void>((resolve) => turn.resolve(resolve))
     }, { priority: -statement.rank })
     return await turn.result
   }
--- a/src/entry/pools/upstream-control.ts
+++ b/src/entry/pools/upstream-control.ts
@@ -4,7 +4,7 @@
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
-import { TIMED_OUT, within } from '../../core/time/deadline.ts'
+import { TIMED_OUT, withTimeout } from '../../core/time/deadline.ts'
 import type { KnownUpstream } from '../directory/index.ts'
 import { faultFromError } from './connection-opener.ts'
 import type { UpstreamConnection, UpstreamPort, UpstreamReport } from '../ports/index.ts'
@@ -62,7 +62,7 @@
   try {
     const connection = await port.open({ group, upstream, endpoint }, { organisation: '', timeoutMs })
     try {
-      const report = await within(send(connection), timeoutMs)
+      const report = await withTimeout(send(connection), timeoutMs)
       if (report === TIMED_OUT) {
         health.recordFailure('silent')
         return undefined
--- a/src/entry/registry/change-notifications.ts
+++ b/src/entry/registry/change-notifications.ts
@@ -5,7 +5,7 @@
 import * as z from 'zod'
 import { describeThrown } from '../../core/errors/index.ts'
 import { registerPlugin } from '../../core/kernel/index.ts'
-import { chooseSome } from '../../core/random.ts'
+import { sampleItems } from '../../core/random.ts'
 import { pause } from '../../core/time/deadline.ts'
 import { followersOf } from './readers.ts'
 import type { KnownHost } from './snapshot.ts'
@@ -41,7 +41,7 @@
 
 registerPlugin({
   name: 'tableNews',
-  needs: ['registry', 'peers'],
+  dependencies: ['registry', 'peers'],
   start: (context) => {
     const registry = context.use('registry')
     const peers = context.use('peers')
@@ -62,7 +62,7 @@
       const notification = { table, version, host: registry.self.name }
       for (let attempt = 1; attempt <= NOTIFY_ATTEMPTS; attempt++) {
         try {
-          await peers.ask(peer, 'table-news', notification, NOTIFY_TIMEOUT_MS)
+          await peers.requestOrDisconnect(peer, 'table-news', notification, NOTIFY_TIMEOUT_MS)
           return
         } catch (thrown) {
           logger.log('debug', 'registry.peer-silent', { peer: peer.name, reason: describeThrown(thrown) })
@@ -74,7 +74,7 @@
       pending.delete(table)
       const outdated = followersOf(registry.current.liveHosts)
         .filter(({ name }) => name !== registry.self.name && reportedBy(table, name) < version)
-      await Promise.all(chooseSome(outdated, FANOUT).map(async (peer) => await notifyPeer(peer, table, version)))
+      await Promise.all(sampleItems(outdated, FANOUT).map(async (peer) => await notifyPeer(peer, table, version)))
     }
     peers.handle('table-news', async (body) => {
       const { table, version, host } = notificationSchema.parse(body)
--- a/src/entry/registry/host-expiry.ts
+++ b/src/entry/registry/host-expiry.ts
@@ -7,7 +7,7 @@
 import type { Logger } from '../../core/logger/index.ts'
 import { repeat } from '../../core/time/repeat.ts'
 import type { Peers } from '../../peers/index.ts'
-import { isRefusal } from '../../peers/refusal.ts'
+import { isConnectionRefused } from '../../peers/refusal.ts'
 import type { Registry } from './service.ts'
 import type { KnownHost } from './snapshot.ts'
 import { hostRowSchema, registryKeys, RETIRED_PROCESS, type HostRow } from './types.ts'
@@ -21,7 +21,7 @@
 
 interface HostExpiryOptions {
   registry: Pick<Registry, 'self' | 'current' | 'peers' | 'write' | 'storeNowAtLeastMs' | 'storeNowAtMostMs'>
-  peers: Pick<Peers, 'ask' | 'handle'>
+  peers: Pick<Peers, 'requestOrDisconnect' | 'handle'>
   logger: Logger
   /** Maximum time that a silent host may still work at primaries, in milliseconds. */
   leaseMs: number
@@ -61,13 +61,13 @@
       ? unanswered.since
       : performance.now()
     try {
-      await peers.ask(host, 'neighbour', {}, PROBE_TIMEOUT_MS)
+      await peers.requestOrDisconnect(host, 'neighbour', {}, PROBE_TIMEOUT_MS)
       unanswered = undefined
     } catch (thrown) {
       unanswered = { name: host.name, process: host.process, since }
       logger.log('debug', 'registry.peer-silent', { peer: host.name, reason: describeThrown(thrown) })
       if (performance.now() - since > RETIRE_AFTER_MS) {
-        await retire(host, isRefusal(thrown))
+        await retire(host, isConnectionRefused(thrown))
       }
     }
   }
--- a/src/entry/registry/refresh-requests.ts
+++ b/src/entry/registry/refresh-requests.ts
@@ -14,7 +14,7 @@
 
 interface RefreshRequestOptions {
   self: { name: string }
-  peers: Pick<Peers, 'ask' | 'handle'>
+  peers: Pick<Peers, 'requestOrDisconnect' | 'handle'>
   state: Pick<RegistryState, 'current'>
   exchange: Pick<SnapshotExchange, 'requestFromWriter'>
   /** Reads the table from the store. */
@@ -45,7 +45,7 @@
     // Other hosts receive the change from the followers by long poll.
     const followers = followersOf(state.current.liveHosts).filter(({ name }) => name !== self.name)
     followers.forEach((peer) => {
-      peers.ask(peer, 'registry-nudge', {}, REFRESH_REQUEST_TIMEOUT_MS).catch((thrown: unknown) =>
+      peers.requestOrDisconnect(peer, 'registry-nudge', {}, REFRESH_REQUEST_TIMEOUT_MS).catch((thrown: unknown) =>
         logger.log('debug', 'registry.peer-silent', { peer: peer.name, reason: describeThrown(thrown) }))
     })
   }
--- a/src/entry/registry/registry-store.ts
+++ b/src/entry/registry/registry-store.ts
@@ -4,7 +4,7 @@
  */
 import { describeThrown, WorkswardError } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
-import { TIMED_OUT, within } from '../../core/time/deadline.ts'
+import { TIMED_OUT, withTimeout } from '../../core/time/deadline.ts'
 import type { StorePort } from '../ports/index.ts'
 import type { RegistryState } from './registry-state.ts'
 import type { Registry } from './service.ts'
@@ -96,7 +96,7 @@
   }
   const write: Registry['write'] = async (transaction) => {
     const timeoutMs = writeTimeoutMs(readMs)
-    const applied = await within(store.write({ ...transaction, table: REGISTRY_TABLE }), timeoutMs)
+    const applied = await withTimeout(store.write({ ...transaction, table: REGISTRY_TABLE }), timeoutMs)
     if (applied === TIMED_OUT) {
       const reason = `no answer in ${Math.round(timeoutMs)} ms`
       throw new WorkswardError('PlatformUnavailable', { operation: 'write', reason })
--- a/src/entry/registry/snapshot-exchange.ts
+++ b/src/entry/registry/snapshot-exchange.ts
@@ -22,7 +22,7 @@
 const PEERS_PER_ROUND = 3
 
 interface SnapshotExchangeOptions {
-  peers: Pick<Peers, 'ask' | 'handle'>
+  peers: Pick<Peers, 'requestOrDisconnect' | 'handle'>
   logger: Logger
   current: () => RegistrySnapshot
   /** Whether this host reads the registry from the store successfully. */
@@ -107,7 +107,7 @@
     const askedAt = performance.now()
     const previous = current()
     const sendRequest = async (request: z.infer<typeof snapshotRequestSchema>): Promise<SnapshotReply> =>
-      snapshotReplySchema.parse(await peers.ask(peer, 'registry-snapshot', request, timeoutMs + holdMs))
+      snapshotReplySchema.parse(await peers.requestOrDisconnect(peer, 'registry-snapshot', request, timeoutMs + holdMs))
     try {
       const reply = await sendRequest({ digest: previous.digest, version: previous.version, holdMs })
       if (reply.version < previous.version) {
--- a/src/entry/registry/table-exchange.ts
+++ b/src/entry/registry/table-exchange.ts
@@ -29,7 +29,7 @@
 
 registerPlugin({
   name: 'tableRelay',
-  needs: ['registry', 'peers'],
+  dependencies: ['registry', 'peers'],
   start: (context) => {
     const registry = context.use('registry')
     const peers = context.use('peers')
--- a/src/entry/registry/table-questions.ts
+++ b/src/entry/registry/table-questions.ts
@@ -20,7 +20,7 @@
 const MAX_TIMEOUTS = 2
 
 interface TableClientOptions {
-  peers: Pick<Peers, 'request' | 'ask'>
+  peers: Pick<Peers, 'request' | 'requestOrDisconnect'>
   logger: Logger
   /** The other hosts that follow the tables, ordered by preference. */
   followers: () => KnownHost[]
@@ -60,7 +60,7 @@
   const send = async (host: KnownHost, tableRequest: TableRequest, timeoutMs: number): Promise<unknown> =>
     tableRequest.after === undefined
       ? await peers.request(host, 'table-changes', tableRequest, timeoutMs)
-      : await peers.ask(host, 'table-changes', tableRequest, timeoutMs)
+      : await peers.requestOrDisconnect(host, 'table-changes', tableRequest, timeoutMs)
   const requestFromHost = async (
     host: KnownHost, tableRequest: TableRequest, timeoutMs: number
   ): Promise<TableResponse | undefined> => {
--- a/src/mysql-proxy/failover/fencing.ts
+++ b/src/mysql-proxy/failover/fencing.ts
@@ -2,7 +2,7 @@
  * Fences upstreams with a term. A fenced upstream rejects writes and replication from lower terms, and accepts each
  * term only once.
  */
-import { Deadline, within } from '../../core/time/deadline.ts'
+import { Deadline, withTimeout } from '../../core/time/deadline.ts'
 import { comparePositions } from '../../positions/position.ts'
 import type { GroupView } from '../upstreams/group-view.ts'
 import { logEnd } from '../upstreams/status.ts'
@@ -76,6 +76,6 @@
     })
     void Promise.allSettled(attempts).then(() => resolve())
   })
-  await within(sufficient, FENCE_TIMEOUT_MS)
+  await withTimeout(sufficient, FENCE_TIMEOUT_MS)
   return [...fenced]
 }
--- a/test/core/bounded-wait.test.ts
+++ b/test/core/bounded-wait.test.ts
@@ -8,15 +8,15 @@
   beforeEach(() => { clock = fakeTimers.install({ toFake: ['setTimeout', 'clearTimeout'] }) })
   afterEach(() => { clock.uninstall() })
 
-  it('ends when it is served, and leaves no timer', async () => {
+  it('settles with the first outcome and clears its timer', async () => {
     const wait = createBoundedWait<string>({ timeoutMs: 100, onTimeout: () => new Error('too late') })
-    wait.serve('first')
-    wait.serve('second')
+    wait.resolve('first')
+    wait.resolve('second')
     wait.reject(new Error('third'))
-    expect([await wait.result, wait.isOver, clock.countTimers()]).toEqual(['first', true, 0])
+    expect([await wait.result, wait.isSettled, clock.countTimers()]).toEqual(['first', true, 0])
   })
 
-  it('is rejected when its time is over, after it was taken out of its queue', async () => {
+  it('is rejected on timeout, after the handler has removed it from its queue', async () => {
     let isQueued = true
     const wait = createBoundedWait<string>({
       timeoutMs: 100,
@@ -27,9 +27,9 @@
     })
     const outcome = wait.result.catch((thrown: unknown) => (thrown as Error).message)
     await clock.tickAsync(99)
-    expect([wait.isOver, isQueued]).toEqual([false, true])
+    expect([wait.isSettled, isQueued]).toEqual([false, true])
     await clock.tickAsync(1)
-    wait.serve('late')
-    expect([await outcome, wait.isOver, isQueued]).toEqual(['too late', true, false])
+    wait.resolve('late')
+    expect([await outcome, wait.isSettled, isQueued]).toEqual(['too late', true, false])
   })
 })
