--- a/bench/differential.ts
+++ b/bench/differential.ts
@@ -1,4 +1,4 @@
-/** The same workload and faults against worksward and against the naive version. */
+/** Runs the same workload and faults against worksward and against the naive proxy. */
 import { CHECKERS } from '../src/emulation/load/checks/index.ts'
 import { runExperiment, type ExperimentOptions, type ExperimentResult } from '../src/emulation/load/experiment.ts'
 import { summarize } from '../src/emulation/load/summary.ts'
@@ -7,7 +7,7 @@
 
 const SEEDS = [1, 2, 3, 4]
 
-/** Options of one run: lag, a lost answer, a cut primary. */
+/** Builds the options of one run: replication lag, lost answers and an isolated primary. */
 function differentialOptions (seed: number): ExperimentOptions {
   return {
     seed,
@@ -21,7 +21,7 @@
   }
 }
 
-/** Counts violations and figures of both. */
+/** Compares violations and request outcomes of the two proxies. */
 export const differential: Measurement = {
   title: 'Worksward and the naive version',
   description: `Same seeds (${SEEDS.join(', ')}), workload and faults: lag 30 ms, lost answers, the primary cut off for 1 s.`,
--- a/bench/entry-start.ts
+++ b/bench/entry-start.ts
@@ -1,14 +1,14 @@
-/** Processor time of a start of the entry process: with code compiled at the build, and compiled anew. */
+/** Measures the CPU time to start the entry process, with and without the code cache of the build. */
 import { execFileSync } from 'node:child_process'
 import { readFileSync } from 'node:fs'
 import { round2 } from './throughput.ts'
 import type { Measurement, Row } from './types.ts'
 
 const ROOT = new URL('../', import.meta.url).pathname
-/** Starts of each kind, in turns; the median is shown. */
+/** Number of interleaved starts of each command; the median is reported. */
 const ROUNDS = 15
-const MICROSECONDS = 1000
-/** Prints the processor time of the process that loads it when that ends. */
+const MICROSECONDS_PER_MS = 1000
+/** Module that prints the CPU time of its process on exit, in microseconds. */
 const REPORT = `data:text/javascript,${encodeURIComponent(
   'process.on("exit", () => { const { user, system } = process.cpuUsage(); process.stdout.write("\\n" + (user + system)) })')}`
 
@@ -17,8 +17,8 @@
   return options.split(' ')
 }
 
-/** What is started, by its name in the table: code that was compiled under other options is not accepted. */
-const STARTED: Record<string, string[]> = {
+/** Arguments of each command by its table label. A different `--stack-size` invalidates the code cache. */
+const COMMANDS: Record<string, string[]> = {
   'the runtime alone': ['-e', '0'],
   'code compiled at the build': [...deployedOptions(), 'deploy/start.cjs', '--version'],
   'code compiled anew': ['--stack-size=900', ...deployedOptions(), 'deploy/start.cjs', '--version']
@@ -28,10 +28,10 @@
   const output = execFileSync(process.execPath, ['--import', REPORT, ...args], {
     cwd: ROOT, stdio: ['ignore', 'pipe', 'ignore']
   })
-  return Number(String(output).split('\n').at(-1)) / MICROSECONDS
+  return Number(String(output).split('\n').at(-1)) / MICROSECONDS_PER_MS
 }
 
-/** Measures starts up to the command line, without settings: what follows waits for the store. */
+/** Measures the start up to command line parsing only, as later steps wait for the store. */
 export const entryStart: Measurement = {
   title: 'Start of the entry process',
   description: `Processor time of a start up to the command line, median of ${ROUNDS} in turns. Before parts of packages ` +
@@ -39,12 +39,12 @@
     'times the runtime alone (two runs of ten).',
   run: async () => {
     execFileSync(process.execPath, ['deploy/bundle.js'], { cwd: ROOT })
-    const times = Object.keys(STARTED).map((): number[] => [])
+    const times = Object.keys(COMMANDS).map((): number[] => [])
     for (let round = 0; round < ROUNDS; round++) {
-      Object.values(STARTED).forEach((args, index) => times[index]!.push(processorMs(args)))
+      Object.values(COMMANDS).forEach((args, index) => times[index]!.push(processorMs(args)))
     }
     const medians = times.map((all) => all.sort((left, right) => left - right)[ROUNDS >> 1]!)
-    return Object.keys(STARTED).map((started, index): Row => ({
+    return Object.keys(COMMANDS).map((started, index): Row => ({
       started, 'processor ms': round2(medians[index]!), 'of the runtime alone': round2(medians[index]! / medians[0]!)
     }))
   }
--- a/bench/failover-gap.ts
+++ b/bench/failover-gap.ts
@@ -1,4 +1,4 @@
-/** The longest time without an acknowledged write around a failover, as callers see it. */
+/** Measures the longest interval without an acknowledged write around a failover, as callers see it. */
 import { runExperiment } from '../src/emulation/load/experiment.ts'
 import type { FaultName } from '../src/emulation/load/faults.ts'
 import { reportViolations } from './report-violations.ts'
@@ -9,7 +9,7 @@
 const FAULTS: FaultName[] = ['crash-primary', 'pause-primary', 'cut-primary']
 const WRITES = { purchase: 100, 'read-own': 0, transfer: 0, total: 0, echo: 0 }
 
-/** Measures the gap for each way in which a primary fails. */
+/** Measures the gap for each kind of primary failure. */
 export const failoverGap: Measurement = {
   title: 'Failover gap',
   description: `Longest time between two acknowledged writes around the failure, ${RUNS} runs of each kind, 12 writers, ` +
@@ -37,7 +37,7 @@
     gaps.push(failoverGapMs(result.history.events, result.faults[0]!.atMs) ?? Infinity)
   }
   const sorted = gaps.sort((left, right) => left - right)
-  const at = (share: number): number =>
+  const percentileOf = (share: number): number =>
     Math.round(sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))]!)
-  return { failure: name, runs: RUNS, 'p50 ms': at(0.5), 'p90 ms': at(0.9), 'largest ms': at(1), violations }
+  return { failure: name, runs: RUNS, 'p50 ms': percentileOf(0.5), 'p90 ms': percentileOf(0.9), 'largest ms': percentileOf(1), violations }
 }
--- a/bench/idle-connections.ts
+++ b/bench/idle-connections.ts
@@ -1,4 +1,4 @@
-/** Memory and processor time of callers that are connected and idle, in one proxy process. */
+/** Measures the memory and CPU time that idle client connections cost one proxy process. */
 import mysql, { type Connection } from 'mysql2/promise'
 import { pause } from '../src/core/time/deadline.ts'
 import { ASSOCIATION_SIZES, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../src/emulation/embedded/sizes.ts'
@@ -8,23 +8,23 @@
 import type { Measurement, Row } from './types.ts'
 
 const GROUP = 'member-a'
-/** Numbers of callers at which the process is measured. */
+/** Connection counts to measure. */
 const SIZES = [400, 800, 1200, 1600, 2000]
-const CONNECT_AT_A_TIME = 25
+const CONNECT_BATCH_SIZE = 25
 const OBSERVE_MS = 4000
 const SETTLE_MS = 500
 const KB = 1024
 const MS_PER_SECOND = 1000
 
-/** Cost of a proxy process with a number of idle callers. */
+/** Resource usage of a proxy process with a given number of idle callers. */
 interface IdleCost {
   callers: number
   memoryKb: number
-  /** Processor time, in milliseconds a second. */
+  /** CPU time, in milliseconds per second. */
   processorMs: number
 }
 
-/** Measures one proxy process; the callers are in another. */
+/** Measures one proxy process; the callers run in a separate process. */
 export const idleConnections: Measurement = {
   title: 'Idle callers',
   description: 'Memory in use after collecting garbage (without the kernel\'s socket buffers) and processor time of one ' +
@@ -68,7 +68,7 @@
   return costs
 }
 
-/** Reads the memory in use after garbage has been collected; the kernel's socket buffers are not in it. */
+/** Returns heap and external memory after a garbage collection, without the kernel's socket buffers. */
 async function readHeapKb (deployment: ProcessDeployment, proxy: DeployedProcess): Promise<number> {
   const { process } = await deployment.dump(proxy) as unknown as {
     process: { memory: { heapUsed: number, external: number } }
@@ -78,7 +78,7 @@
 
 async function connectUpTo (proxy: DeployedProcess, connections: Connection[], size: number): Promise<void> {
   while (connections.length < size) {
-    const missing = Math.min(CONNECT_AT_A_TIME, size - connections.length)
+    const missing = Math.min(CONNECT_BATCH_SIZE, size - connections.length)
     connections.push(...await Promise.all(Array.from({ length: missing }, async () => await mysql.createConnection({
       host: '127.0.0.1',
       port: Number(proxy.started['callers']),
--- a/bench/naive/naive-proxy.ts
+++ b/bench/naive/naive-proxy.ts
@@ -1,6 +1,6 @@
 /**
- * The naive version that worksward is compared with: a static primary, replicas in turn, any error tried again. Each
- * habit can be switched off, so that the harm of each can be shown alone.
+ * A naive proxy as a baseline: fixed primary, round-robin replicas, retry on any error. Each flaw can be toggled, so
+ * that tests can show its effect in isolation.
  */
 import { openClient, type Client, type UpstreamAccess } from '../../src/mysql/client.ts'
 import { createDialer } from '../../src/core/wire/dialer.ts'
@@ -17,13 +17,13 @@
   replicas: UpstreamAccess[]
   user: string
   password: string
-  /** Whether any failed statement is sent again. */
+  /** Whether any failed statement is retried. */
   retryOnError?: boolean
-  /** Whether all callers share one connection, transactions and all. */
+  /** Whether all callers share one primary connection, including its transactions. */
   shareConnection?: boolean
   /** Whether a failed statement is reported as not run. */
   claimNotRun?: boolean
-  /** Whether an answer may lose its last row, as a truncated read would. */
+  /** Whether the last row of each read is dropped, as by a truncated read. */
   truncateAnswers?: boolean
 }
 
@@ -33,7 +33,7 @@
 /**
  * Starts the naive proxy.
  *
- * @param options - upstreams and habits
+ * @param options - upstreams, login and flaws to enable
  * @returns the listening server
  */
 export async function startNaiveProxy (options: NaiveOptions): Promise<SocketListener> {
@@ -41,7 +41,7 @@
   const dialer = createDialer()
   const open = async (access: UpstreamAccess): Promise<Client> =>
     await openClient({ access, dialer, connectTimeoutMs: 500 })
-  let turn = 0
+  let nextReplica = 0
   let shared: Promise<Client> | undefined
 
   return await listenMysql({
@@ -69,9 +69,9 @@
         if (!isRead) {
           return await (await primary()).run(statement, STATEMENT_TIMEOUT_MS, 'may-have-run')
         }
-        const client = await open(options.replicas[turn++ % options.replicas.length]!)
+        const client = await open(options.replicas[nextReplica++ % options.replicas.length]!)
         try {
-          return shorten(await client.run(statement, STATEMENT_TIMEOUT_MS, 'not-run'), options.truncateAnswers === true)
+          return dropLastRow(await client.run(statement, STATEMENT_TIMEOUT_MS, 'not-run'), options.truncateAnswers === true)
         } finally {
           client.close()
         }
@@ -81,7 +81,7 @@
           if (statement.sql.includes('@@worksward_session')) {
             return { type: 'rows', columns: [textColumn('@@worksward_session')], rows: [[Buffer.from('naive')]] }
           }
-          const answer = await tryAgain(async () => await run(statement), retryOnError ? RETRIES : 0)
+          const answer = await retry(async () => await run(statement), retryOnError ? RETRIES : 0)
           const ends = /^\s*(COMMIT|ROLLBACK)/i.test(statement.sql)
           inTransaction = /^\s*BEGIN/i.test(statement.sql) || (inTransaction && !ends)
           return answer
@@ -98,17 +98,17 @@
   return (await client?.catch(() => undefined))?.usable === true
 }
 
-async function tryAgain (run: () => Promise<Answer>, retries: number): Promise<Answer> {
+async function retry (run: () => Promise<Answer>, retries: number): Promise<Answer> {
   try {
     return await run()
   } catch (thrown) {
     if (retries === 0) {
       throw thrown
     }
-    return await tryAgain(run, retries - 1)
+    return await retry(run, retries - 1)
   }
 }
 
-function shorten (answer: Answer, truncate: boolean): Answer {
+function dropLastRow (answer: Answer, truncate: boolean): Answer {
   return truncate && answer.type === 'rows' ? { ...answer, rows: answer.rows.slice(0, -1) } : answer
 }
--- a/bench/naive/run-naive.ts
+++ b/bench/naive/run-naive.ts
@@ -1,4 +1,4 @@
-/** Runs an experiment whose callers connect to the naive proxy instead of worksward. */
+/** Runs an experiment with the naive proxy in place of worksward. */
 import { EMBEDDED_ACCOUNT, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../../src/emulation/embedded/sizes.ts'
 import type { Deployment } from '../../src/emulation/embedded/deployment.ts'
 import { runExperiment, type ExperimentOptions, type ExperimentResult } from '../../src/emulation/load/experiment.ts'
@@ -8,14 +8,14 @@
 const GROUP = 'member-a'
 
 /**
- * Runs the experiment.
+ * Runs an experiment against the naive proxy.
  *
  * @param options - seed, faults and workload
- * @param habits - habits of the naive proxy
- * @returns what callers saw
+ * @param naiveOptions - flaws of the naive proxy to enable
+ * @returns history and violations, as callers saw them
  */
 export async function runNaive (
-  options: ExperimentOptions, habits: Partial<NaiveOptions> = {}
+  options: ExperimentOptions, naiveOptions: Partial<NaiveOptions> = {}
 ): Promise<ExperimentResult> {
   const servers: SocketListener[] = []
   const targetOf = async (deployment: Deployment) => {
@@ -28,7 +28,7 @@
       replicas: access.filter(({ name }) => name !== primary),
       user: EMBEDDED_SERVICE,
       password: EMBEDDED_PASSWORD,
-      ...habits
+      ...naiveOptions
     }))
     const proxies = servers.map(({ port }) => ({ address: '127.0.0.1', port }))
     return { proxies, user: EMBEDDED_SERVICE, password: EMBEDDED_PASSWORD, database: GROUP }
--- a/bench/overload.ts
+++ b/bench/overload.ts
@@ -1,4 +1,4 @@
-/** Goodput at the saturating load and at twice that load. */
+/** Measures goodput at the saturating load and at multiples of it. */
 import { pause } from '../src/core/time/deadline.ts'
 import { ASSOCIATION_SIZES, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../src/emulation/embedded/sizes.ts'
 import { createCaller, type Caller } from '../src/emulation/load/caller.ts'
@@ -10,15 +10,15 @@
 const PHASE_MS = 3000
 const SATURATING_CALLERS = 64
 const OPEN_CALLERS = 400
-/** Service time of a read: slow enough that the upstreams, not this machine, are the limit. */
+/** Service time of a read, slow enough that the upstreams rather than the CPU are the bottleneck. */
 const READ_MS = 10
 const WRITE_EVERY = 20
 const GRACE_MS = 1000
 const DEADLINE_MS = 500
 const GROUP = 'member-a'
-const CONNECT_AT_A_TIME = 20
+const CONNECT_BATCH_SIZE = 20
 
-/** Compares goodput at the peak with goodput at twice the load, offered in an open loop. */
+/** Compares peak goodput in a closed loop with goodput under an open loop that offers multiples of it. */
 export const overload: Measurement = {
   title: 'Overload',
   description: `Reads of ${READ_MS} ms service time and one purchase in ${WRITE_EVERY} requests; the peak is a closed ` +
@@ -43,7 +43,7 @@
   }
 }
 
-/** Figures of one phase. */
+/** Rates per second, write counts and latency of one phase. */
 interface Phase {
   offered: number
   goodput: number
@@ -108,8 +108,8 @@
     database: GROUP
   }
   const callers = Array.from({ length: count }, (_value, index) => createCaller(target, index % target.proxies.length))
-  for (let index = 0; index < count; index += CONNECT_AT_A_TIME) {
-    const batch = callers.slice(index, index + CONNECT_AT_A_TIME)
+  for (let index = 0; index < count; index += CONNECT_BATCH_SIZE) {
+    const batch = callers.slice(index, index + CONNECT_BATCH_SIZE)
     await Promise.all(batch.map(async (caller) => await caller.query('SELECT @@worksward_session')))
   }
   return callers
--- a/bench/process-cost.ts
+++ b/bench/process-cost.ts
@@ -1,16 +1,16 @@
-/** Processor time of a process, as the operating system accounts it. */
+/** Reads the CPU time of a process from `/proc`. */
 import { execFileSync } from 'node:child_process'
 import { readFileSync } from 'node:fs'
 import type { DeployedProcess } from '../test/fixtures/process-deployment.ts'
 
 const TICKS_PER_SECOND = Number(execFileSync('getconf', ['CLK_TCK']).toString())
 const MS_PER_SECOND = 1000
-/** Fields of /proc/PID/stat after the name: user and system time stand at these. */
+/** Indexes of `utime` and `stime` among the fields that follow the command name in `/proc/PID/stat`. */
 const USER_FIELD = 11
 const SYSTEM_FIELD = 12
 
 /**
- * Returns the processor time of a process.
+ * Returns the user and system CPU time of a process.
  *
  * @param process - the process
  * @returns milliseconds
--- a/bench/replica-share.ts
+++ b/bench/replica-share.ts
@@ -1,4 +1,4 @@
-/** Share of reads that replicas serve, by the way in which sessions name themselves. */
+/** Measures the share of reads that replicas serve, by how sessions identify themselves. */
 import { runExperiment } from '../src/emulation/load/experiment.ts'
 import { summarize } from '../src/emulation/load/summary.ts'
 import { GRID_MIX, type WorkloadOptions } from '../src/emulation/load/workload.ts'
@@ -8,7 +8,7 @@
 const SEEDS = [1, 2, 3]
 const DURATION_MS = 4000
 
-/** Measures the share for each way. */
+/** Measures the share for each kind of session handle. */
 export const replicaShare: Measurement = {
   title: 'Share of reads on replicas',
   description: `Lag ${LAG_MS} ms, 5% writes, 8 sessions that roam, seeds ${SEEDS.join(', ')}; no faults.`,
--- a/bench/report-violations.ts
+++ b/bench/report-violations.ts
@@ -1,11 +1,11 @@
-/** Says on standard error which promises a run broke, and what callers saw of the requests concerned. */
+/** Prints the guarantees a run violated, with the events of the requests concerned, to standard error. */
 import type { ExperimentResult } from '../src/emulation/load/experiment.ts'
 
 /**
- * Reports a run's violations.
+ * Prints the violations of a run, if any.
  *
- * @param label - which run it was
- * @param result - the run
+ * @param label - identifies the run in the output
+ * @param result - the finished run
  */
 export function reportViolations (label: string, { violations, history, faults }: ExperimentResult): void {
   if (violations.length === 0) {
--- a/bench/run.ts
+++ b/bench/run.ts
@@ -1,4 +1,4 @@
-/** Runs measurements and writes their tables. */
+/** Runs measurements and writes their tables to docs/MEASUREMENTS.md. */
 import { readFileSync, writeFileSync } from 'node:fs'
 import { differential } from './differential.ts'
 import { entryStart } from './entry-start.ts'
@@ -36,7 +36,7 @@
   writeSection(name, section)
 }
 
-/** Puts a section between its markers on the page. */
+/** Replaces the section between its markers, or appends it when the markers are missing. */
 function writeSection (name: string, section: string): void {
   const begin = `<!-- begin ${name} -->`
   const end = `<!-- end ${name} -->`
--- a/bench/throughput.ts
+++ b/bench/throughput.ts
@@ -1,4 +1,4 @@
-/** Reads and writes through a proxy against the same client on the same stand-in. */
+/** Measures throughput and latency through a proxy against direct connections to the same stand-in. */
 import mysql, { type Connection } from 'mysql2/promise'
 import { startProcesses, type ProcessDeployment } from '../test/fixtures/process-deployment.ts'
 import { ASSOCIATION_SIZES, EMBEDDED_ACCOUNT, EMBEDDED_PASSWORD, EMBEDDED_SERVICE } from '../src/emulation/embedded/sizes.ts'
@@ -10,13 +10,13 @@
 const PHASE_MS = 1500
 const ROUNDS = 3
 
-/** Figures of one phase. */
+/** Throughput and median latency of one phase. */
 interface Phase {
   perSecond: number
   p50Ms: number
 }
 
-/** Compares throughput and latency, direct and through a proxy, in turns. */
+/** Compares direct and proxied throughput and latency in interleaved rounds. */
 export const throughput: Measurement = {
   title: 'Throughput and added latency',
   description: `${CLIENTS.join(' and ')} clients in a closed loop, direct on the stand-in's upstream and through a proxy, each a process of its own, in turns ` +
@@ -82,12 +82,11 @@
   return { perSecond: Math.round(done / PHASE_MS * 1000), p50Ms: percentileMs(histogram, 50) }
 }
 
-/** Returns the middle value. */
 function median (values: number[]): number {
   return [...values].sort((left, right) => left - right)[Math.floor(values.length / 2)] ?? 0
 }
 
-/** Rounds to two decimals. */
+/** Rounds to two decimal places. */
 export function round2 (value: number): number {
   return Math.round(value * 100) / 100
 }
--- a/bench/types.ts
+++ b/bench/types.ts
@@ -1,12 +1,12 @@
-/** What a measurement returns. */
+/** Types of the measurements. */
 
-/** A row of a table. */
+/** Cells of a table row by column name. */
 export type Row = Record<string, string | number>
 
-/** A measurement. */
+/** A measurement that produces one table of docs/MEASUREMENTS.md. */
 export interface Measurement {
   title: string
-  /** What is compared with what, and how. */
+  /** Setup and method, printed above the table. */
   description: string
   run: () => Promise<Row[]>
 }
