--- a/src/emulation/embedded/deployment.ts
+++ b/src/emulation/embedded/deployment.ts
@@ -1,4 +1,4 @@
-/** A whole deployment in one process on loopback: stand-ins, proxies and keepers, each with a kernel of its own. */
+/** Runs a whole deployment in one process over loopback: stand-ins, proxies and keepers, each with its own kernel. */
 import { randomUUID } from 'node:crypto'
 import {
   declarationsSchema, keeperSettingsSchema, proxySettingsSchema, standinSettingsSchema, type Declarations
@@ -23,27 +23,27 @@
 const ADDRESS = '127.0.0.1'
 const PLATFORM = 'platform'
 const PEER_KEY = 'embedded-peer-key-0123456789'
-/** Time the deployment may take to elect its first primaries, in milliseconds. */
+/** Timeout for the first elections and for the proxies to become ready, in milliseconds. */
 const START_TIMEOUT_MS = 15_000
-/** Pause between two looks whether it is ready, in milliseconds. */
+/** Interval between readiness checks, in milliseconds. */
 const POLL_MS = 10
 
 /** Options of {@link startDeployment}. */
 export interface DeploymentOptions {
   sizes: DeploymentSizes
   logger?: Logger
-  /** Changes the declarations before they are applied. */
+  /** Modifies the declarations before they are applied. */
   adjust?: (declarations: Declarations) => void
-  /** Whether to wait until every group has a primary. */
+  /** Whether to wait until every group has a primary and all proxies are ready; true when absent. */
   waitForPrimaries?: boolean
 }
 
-/** A host that runs one process of the product. */
+/** A host that runs one proxy or keeper. */
 export interface DeployedHost {
   name: string
   failureDomain: string
   kernel: Kernel
-  /** Port for callers; 0 for a keeper. */
+  /** Port that callers connect to; 0 for a keeper. */
   callerPort: number
   httpPort: number
 }
@@ -55,39 +55,39 @@
   proxies: DeployedHost[]
   keepers: DeployedHost[]
   declarations: Declarations
-  /** Starts one more proxy. */
+  /** Starts an additional proxy. */
   addProxy: (name: string, failureDomain: string) => Promise<DeployedHost>
   addKeeper: (name: string, failureDomain: string) => Promise<DeployedHost>
-  /** Starts a proxy in the place of one that was killed, on the same port for callers. */
+  /** Starts a proxy in place of a killed one, on the same caller port. */
   replaceProxy: (index: number, callerPort: number) => Promise<void>
-  /** Kills a process without a planned stop. */
+  /** Cuts a host off the network and stops its process, without a planned shutdown. */
   kill: (host: DeployedHost) => Promise<void>
   /** Returns the stand-in of an upstream. */
   upstream: (group: string, name: string) => UpstreamServer
-  /** Returns the stand-in that leads a group in the highest term. */
+  /** Returns the primary with the highest term; during a failover, the last known primary. */
   primaryOf: (group: string) => UpstreamServer
-  /** Waits until every group has a primary that takes writes. */
+  /** Waits until every group has a writable primary and all its other upstreams follow it. */
   waitForPrimaries: () => Promise<void>
   close: () => Promise<void>
 }
 
-/** What the processes of a deployment share. */
+/** State shared by the processes of a deployment. */
 interface SharedParts {
   network: Network
   standins: Standins
   logger: Logger
   platform: PlatformAccess
-  /** Addresses of the processes that run, by which the next ones find them. */
+  /** Peer addresses of the running processes, used as seeds by those started later. */
   seeds: string[]
 }
 
-/** Where the processes find the platform. */
+/** Platform settings of the processes. */
 type PlatformAccess = ReturnType<typeof accessPlatform>
 
 /**
  * Starts a deployment.
  *
- * @param options - sizes and logs
+ * @param options - sizes, logger and start conditions
  * @returns the running deployment
  */
 export async function startDeployment (options: DeploymentOptions): Promise<Deployment> {
@@ -95,10 +95,10 @@
   const network = createNetwork()
   const standins = await startGroups(sizes, logger)
   network.name(ADDRESS, Number(new URL(standins.platform.endpoint).port), PLATFORM)
-  const declarations = declare(sizes, standins, network)
+  const declarations = buildDeclarations(sizes, standins, network)
   options.adjust?.(declarations)
   const platform = accessPlatform(standins)
-  await applyFirst(declarations, platform, network)
+  await applyDeclarations(declarations, platform, network)
 
   const shared: SharedParts = { network, standins, logger, platform, seeds: [] }
   const proxies: DeployedHost[] = []
@@ -206,7 +206,7 @@
   return register(shared, { name, failureDomain, kernel, callerPort: 0, httpPort }, 'keeper')
 }
 
-/** Puts a process that has started on the network and on the platform's list of hosts. */
+/** Registers a started process with the network and in the platform's list of hosts. */
 function register ({ network, standins, seeds }: SharedParts, host: DeployedHost, role: 'proxy' | 'keeper'): DeployedHost {
   const { port } = host.kernel.use('peers')
   network.name(ADDRESS, port, host.name)
@@ -216,7 +216,7 @@
   return host
 }
 
-/** In the middle of a failover no upstream leads; then it is the one that led last. */
+/** Prefers the highest term; during a failover without a primary, falls back to the last one. */
 function findPrimary (standins: Standins, group: string): UpstreamServer {
   const rank = ({ upstream }: UpstreamServer): number => {
     const { role, term } = upstream.status()
@@ -227,15 +227,15 @@
 
 async function waitForPrimaries (standins: Standins, sizes: DeploymentSizes): Promise<void> {
   const until = performance.now() + START_TIMEOUT_MS
-  while (!sizes.groups.every((group) => followersOf(standins, group) === sizes.upstreamsPerGroup - 1)) {
+  while (!sizes.groups.every((group) => countFollowers(standins, group) === sizes.upstreamsPerGroup - 1)) {
     if (performance.now() > until) {
-      throw new Error('the deployment has not elected its primaries in time')
+      throw new Error('timed out waiting for the groups to elect their primaries')
     }
     await pause(POLL_MS)
   }
 }
 
-function followersOf (standins: Standins, group: string): number {
+function countFollowers (standins: Standins, group: string): number {
   const statuses = [...standins.groups.get(group)!.values()].map(({ upstream }) => upstream.status())
   const primary = statuses.find(({ role, term, fencedTerm }) => role === 'primary' && fencedTerm === term)
   return statuses.filter(({ role, term }) => role === 'replica' && term === primary?.term).length
@@ -247,7 +247,7 @@
     kernel.use('configuration').ready && kernel.use('membership').present('proxy').length >= proxies.length
   while (!proxies.every(isReady)) {
     if (performance.now() > until) {
-      throw new Error('the proxies have not become ready in time')
+      throw new Error('timed out waiting for the proxies to become ready')
     }
     await pause(POLL_MS)
   }
@@ -261,7 +261,7 @@
   return Array.from({ length: upstreamsPerGroup }, (_value, index) => ({ name: `${group}-${index + 1}`, port: 0 }))
 }
 
-function declare (sizes: DeploymentSizes, standins: Standins, network: Network): Declarations {
+function buildDeclarations (sizes: DeploymentSizes, standins: Standins, network: Network): Declarations {
   const groups = sizes.groups.map((group) => {
     const servers = [...standins.groups.get(group)!]
     servers.forEach(([name, { port }]) => network.name(ADDRESS, port, name))
@@ -279,7 +279,7 @@
   return declarationsSchema.parse({ groups: Object.fromEntries(groups) })
 }
 
-async function applyFirst (
+async function applyDeclarations (
   declarations: Declarations, platform: { tableEndpoint: string }, network: Network
 ): Promise<void> {
   const settings = proxySettingsSchema.shape.platform.parse(platform)
--- a/src/emulation/embedded/network.ts
+++ b/src/emulation/embedded/network.ts
@@ -1,15 +1,15 @@
-/** A network between the hosts of an embedded deployment, on real sockets, whose links can be cut and mended. */
+/** Simulates network partitions between the hosts of an embedded deployment, over real sockets. */
 import type { Socket } from 'node:net'
 import { createDialer, formatEndpoint, type Dialer } from '../../core/wire/dialer.ts'
 
-/** A connection made over the network. */
+/** An open connection between two hosts. */
 interface Link {
   from: string
   to: string
   socket: Socket
 }
 
-/** A network. */
+/** A network whose connections can be cut. */
 export interface Network {
   /**
    * Creates the dialer of a host.
@@ -17,21 +17,21 @@
    * @param from - name of the host
    */
   dialerOf: (from: string) => Dialer
-  /** Gives a name to an endpoint, so that links to it can be cut. */
+  /** Maps an endpoint to a host, so that connections to it can be cut by host name. */
   name: (address: string, port: number, host: string) => void
-  /** Cuts two hosts off from each other: nothing passes, nothing is refused. */
+  /** Partitions two hosts: packets are dropped silently, and connections are neither refused nor closed. */
   cut: (left: string, right: string) => void
-  /** Cuts a host off from all others. */
+  /** Partitions a host from all others. */
   isolate: (host: string) => void
-  /** Mends everything; connections that were cut break now. */
+  /** Ends all partitions and closes the connections that were cut. */
   mend: () => void
 }
 
-/** Stands for all hosts in a cut. */
-const EVERYBODY = '*'
+/** Wildcard that matches every host in a cut. */
+const ALL_HOSTS = '*'
 
 /**
- * Creates a network without cuts.
+ * Creates a network without partitions.
  *
  * @returns the network
  */
@@ -42,7 +42,7 @@
   const links = new Set<Link>()
 
   const isCut = (left: string, right: string): boolean =>
-    cuts.has(pairOf(left, right)) || cuts.has(pairOf(left, EVERYBODY)) || cuts.has(pairOf(right, EVERYBODY))
+    cuts.has(pairOf(left, right)) || cuts.has(pairOf(left, ALL_HOSTS)) || cuts.has(pairOf(right, ALL_HOSTS))
 
   const freezeCutLinks = (): void => links.forEach((link) => {
     if (isCut(link.from, link.to)) {
@@ -67,7 +67,7 @@
       freezeCutLinks()
     },
     isolate: (host) => {
-      cuts.add(pairOf(host, EVERYBODY))
+      cuts.add(pairOf(host, ALL_HOSTS))
       freezeCutLinks()
     },
     mend: () => {
@@ -83,7 +83,7 @@
 
 const frozen = new WeakSet<Socket>()
 
-/** Lets nothing pass in either direction; the other end sees an open connection that is silent. */
+/** Blocks both directions of a socket; the peer sees an open, silent connection. */
 function freeze (socket: Socket): void {
   if (frozen.has(socket)) {
     return
--- a/src/emulation/embedded/sizes.ts
+++ b/src/emulation/embedded/sizes.ts
@@ -1,7 +1,7 @@
-/** The sizes of the deployments that are run embedded. */
+/** Sizes, credentials and schema of embedded deployments. */
 import type { Kind } from '../../core/config/index.ts'
 
-/** Sizes of an embedded deployment. */
+/** Sizes and service times of an embedded deployment. */
 export interface DeploymentSizes {
   /** Names of the database groups. */
   groups: string[]
@@ -17,7 +17,7 @@
   lagMs: number
 }
 
-/** Three shared member databases in three failure domains of Seoul. */
+/** Three database groups across three failure domains. */
 export const ASSOCIATION_SIZES: DeploymentSizes = {
   groups: ['member-a', 'member-b', 'member-c'],
   failureDomains: ['seoul-a', 'seoul-b', 'seoul-c'],
@@ -32,7 +32,7 @@
   lagMs: 5
 }
 
-/** Kinds of requests of the embedded service. */
+/** Request kinds of the embedded service. */
 export const EMBEDDED_KINDS: Record<string, Partial<Kind> & Pick<Kind, 'access'>> = {
   grid: { access: 'read', maximumAgeMs: 1000, priority: 3 },
   strict: { access: 'read', maximumAgeMs: 0, priority: 5 },
@@ -41,17 +41,17 @@
   quick: { access: 'write', repeatable: false, acknowledgement: 'confirmed', priority: 8 }
 }
 
-/** Account on the upstreams, and the service that callers use, in embedded deployments. */
+/** Account that the proxies use on the upstreams. */
 export const EMBEDDED_ACCOUNT = { user: 'worksward', password: 'upstream-password' }
-/** Name of the embedded service. */
+/** Name of the service that callers log in as. */
 export const EMBEDDED_SERVICE = 'app'
-/** Password of the embedded service. */
+/** Password of {@link EMBEDDED_SERVICE}. */
 export const EMBEDDED_PASSWORD = 'app-password'
 
-/** Key of the embedded operator, who may read and change. */
+/** Key of an operator with the rights to read and change. */
 export const EMBEDDED_OPERATOR_KEY = 'embedded-operator-key'
 
-/** SQL every upstream of an embedded deployment starts with. */
+/** SQL that every upstream of an embedded deployment runs at its start. */
 export const EMBEDDED_SCHEMA = [
   'CREATE TABLE records (id INTEGER PRIMARY KEY AUTOINCREMENT, session TEXT, request TEXT, amount INTEGER)',
   'CREATE TABLE registers (name TEXT PRIMARY KEY, value INTEGER NOT NULL)'
