--- a/src/emulation/load/caller.ts
+++ b/src/emulation/load/caller.ts
@@ -1,9 +1,9 @@
-/** A caller: a stock MySQL client that connects again when its proxy goes, and reads the verdict of errors. */
+/** A MySQL client that reconnects after a connection failure and parses the verdict in error messages. */
 import mysql, { type Connection } from 'mysql2/promise'
 import type { Endpoint } from '../../core/wire/dialer.ts'
 import type { Outcome } from './history.ts'
 
-/** Where callers connect, and as whom. */
+/** Proxies and credentials that callers connect with. */
 export interface CallerTarget {
   proxies: Endpoint[]
   user: string
@@ -11,19 +11,19 @@
   database: string
 }
 
-/** Rows of an answer. */
+/** Result rows by column name. */
 type Rows = Array<Record<string, unknown>>
 
-/** A caller. */
+/** A client session on one proxy at a time. */
 export interface Caller {
-  /** Index of the proxy it is connected to. */
+  /** Index of the current proxy. */
   readonly proxy: number
-  /** Goes to another proxy with the next request. */
+  /** Switches to another proxy from the next request on. */
   roam: (proxy: number) => Promise<void>
   /**
    * Runs a statement.
    *
-   * @param sql - the statement, with its hint
+   * @param sql - the statement, including its hint comment
    * @param values - values of its placeholders
    * @returns the rows; empty for a statement without rows
    */
@@ -32,15 +32,15 @@
 }
 
 const CONNECT_TIMEOUT_MS = 1000
-/** Time after which a caller gives up on an answer, in milliseconds. */
+/** Time a caller waits for an answer, in milliseconds. */
 const QUERY_TIMEOUT_MS = 8000
 const VERDICT = /\[verdict: (not-run|may-have-run|ran)\]/
 
 /**
- * Creates a caller; it connects with its first statement.
+ * Creates a caller, which connects on its first statement.
  *
- * @param target - where and as whom
- * @param proxy - index of the first proxy
+ * @param target - proxies and credentials
+ * @param proxy - index of the proxy to start with
  * @returns the caller
  */
 export function createCaller (target: CallerTarget, proxy: number): Caller {
@@ -98,10 +98,10 @@
 }
 
 /**
- * Reads how a request ended from the error its caller got.
+ * Derives the outcome of a request from the error that its caller received.
  *
  * @param thrown - the error
- * @returns the outcome; unknown when the connection broke
+ * @returns the outcome; `may-have-run` when the connection failed before an answer
  */
 export function readOutcome (thrown: unknown): Outcome {
   const message = thrown instanceof Error ? thrown.message : String(thrown)
@@ -113,7 +113,7 @@
   return { type: 'refused', verdict: verdict ?? (answered ? 'not-run' : 'may-have-run'), message }
 }
 
-/** No connection could be made, so nothing was sent. */
+/** Thrown when no connection could be opened, so the statement was never sent. */
 class NotConnectedError extends Error {}
 
 function isFatal (thrown: unknown): boolean {
--- a/src/emulation/load/checks/index.ts
+++ b/src/emulation/load/checks/index.ts
@@ -1,10 +1,10 @@
-/** The checkers: one for each promise, by name. */
+/** Checks the history of a run against each consistency guarantee. */
 import { TRANSFER_HALVES, type History, type HistoryEvent, type Violation } from '../history.ts'
 
-/** Finds what breaks one promise. */
+/** Returns a description of each violation of one guarantee. */
 type Checker = (history: History) => string[]
 
-/** The checkers by the promise they check. */
+/** Checkers by the name of the guarantee. */
 export const CHECKERS: Record<string, Checker> = {
   'acknowledged-survives': acknowledgedSurvives,
   'at-most-once': atMostOnce,
@@ -17,10 +17,10 @@
 }
 
 /**
- * Checks a run against every promise.
+ * Checks a run against every guarantee.
  *
  * @param history - the run
- * @returns what is broken
+ * @returns all violations
  */
 export function checkHistory (history: History): Violation[] {
   return Object.entries(CHECKERS).flatMap(([check, find]) =>
@@ -40,7 +40,7 @@
   return [...counts].filter(([, count]) => count > 1).map(([request, count]) => `${request} ran ${count} times`)
 }
 
-/** A refused request may be sent again under its key; only the last word counts. */
+/** A refused request may be retried under its key, so only its last outcome counts. */
 function refusedNeverRan ({ events, final }: History): string[] {
   const held = new Set(final.records.map(({ request }) => request))
   const lastOutcome = new Map<string, HistoryEvent>()
@@ -111,7 +111,7 @@
   return outcome.type === 'done'
 }
 
-/** The records that an event must leave if it took effect. */
+/** Returns the records that an event leaves if it took effect. */
 function requestsOf ({ operation }: HistoryEvent): string[] {
   if (operation.type === 'purchase') {
     return [operation.request]
--- a/src/emulation/load/experiment.ts
+++ b/src/emulation/load/experiment.ts
@@ -1,4 +1,4 @@
-/** One embedded run: a deployment, a workload, faults from a schedule, and the checks of what callers saw. */
+/** Runs a workload with scheduled faults against an embedded deployment and checks what callers observed. */
 import { startDeployment, type Deployment } from '../embedded/deployment.ts'
 import { ASSOCIATION_SIZES, EMBEDDED_ACCOUNT, EMBEDDED_PASSWORD, EMBEDDED_SERVICE, type DeploymentSizes } from '../embedded/sizes.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -18,24 +18,24 @@
   faults: ScheduledFault[]
   workload?: Partial<Omit<WorkloadOptions, 'target' | 'seed'>>
   logger?: Logger
-  /** Where callers connect; the proxies of the deployment when absent. */
+  /** Returns where callers connect; by default, the proxies of the deployment. */
   targetOf?: (deployment: Deployment) => Promise<CallerTarget>
 }
 
-/** A finished run. */
+/** Result of a finished run. */
 export interface ExperimentResult {
   history: History
   violations: Violation[]
-  /** Faults that were brought about, with their true times. */
+  /** The injected faults with their actual start times and durations. */
   faults: ScheduledFault[]
-  /** Reads served by replicas and by the primary, as the proxies counted them. */
+  /** Reads served by replicas, as counted by the proxies. */
   readsOnReplicas: number
   readsOnPrimary: number
 }
 
 const SETTLE_MS = 50
-/** Time for the upstreams to agree after the last fault, in milliseconds. */
-const AGREE_TIMEOUT_MS = 15_000
+/** Time the upstreams may take to converge after the last fault, in milliseconds. */
+const CONVERGENCE_TIMEOUT_MS = 15_000
 
 /**
  * Runs an experiment.
@@ -64,7 +64,7 @@
       durationMs
     })
     const faults = await injecting
-    await waitForAgreement(deployment, group)
+    await waitForConvergence(deployment, group)
     const final = await readFinalState(primaryLogin(deployment, group))
     const history: History = { events: sortEvents(events), final, startTotal }
     const counts = deployment.proxies.map(({ kernel }) => kernel.use('routing').counts())
@@ -81,7 +81,7 @@
 }
 
 /**
- * Returns where callers of a deployment connect.
+ * Returns the default target of callers.
  *
  * @param deployment - the deployment
  * @returns its proxies and the embedded service
@@ -96,7 +96,7 @@
 }
 
 /**
- * Returns how to log in on the primary of a group.
+ * Returns the login of a group's primary.
  *
  * @param deployment - the deployment
  * @param group - the group
@@ -122,17 +122,17 @@
   }))
 }
 
-/** Ends what a fault may have left, and waits until all upstreams hold the same log. */
-async function waitForAgreement (deployment: Deployment, group: string): Promise<void> {
+/** Ends all partitions and waits until the logs of all upstreams end at the same position. */
+async function waitForConvergence (deployment: Deployment, group: string): Promise<void> {
   deployment.network.mend()
   deployment.standins.mendReplication()
   await deployment.waitForPrimaries()
-  const until = performance.now() + AGREE_TIMEOUT_MS
+  const until = performance.now() + CONVERGENCE_TIMEOUT_MS
   const ends = (): Set<string> => new Set([...deployment.standins.groups.get(group)!.values()]
     .map(({ upstream }) => JSON.stringify(upstream.log.end)))
   while (ends().size > 1) {
     if (performance.now() > until) {
-      throw new Error('the upstreams have not come to agree')
+      throw new Error('timed out waiting for the upstreams to converge')
     }
     await pause(SETTLE_MS)
   }
--- a/src/emulation/load/faults.ts
+++ b/src/emulation/load/faults.ts
@@ -1,8 +1,8 @@
-/** The faults of the brief, and schedules of them made from a seed. */
+/** Fault injection, and fault schedules generated from a seed. */
 import type { Deployment } from '../embedded/deployment.ts'
 import type { RandomSource } from './random.ts'
 
-/** Kinds of faults. */
+/** Names of all faults. */
 export const FAULT_NAMES = [
   'crash-primary', 'pause-primary', 'cut-primary', 'cut-replication', 'lag-replica', 'platform-outage',
   'platform-slow', 'lose-commit', 'lose-write', 'lose-promotion', 'kill-proxy', 'isolate-proxy', 'isolate-keeper'
@@ -11,26 +11,26 @@
 /** One of {@link FAULT_NAMES}. */
 export type FaultName = typeof FAULT_NAMES[number]
 
-/** A fault at a time. */
+/** A fault with its start time and duration. */
 export interface ScheduledFault {
   name: FaultName
-  /** When it begins, in milliseconds since the run began. */
+  /** Start, in milliseconds since the start of the run. */
   atMs: number
-  /** How long it lasts, in milliseconds. */
+  /** Duration, in milliseconds. */
   durationMs: number
 }
 
 /** Ends a fault. */
 export type EndFault = () => Promise<void> | void
 
-/** Begins a fault on a group of a deployment and returns how to end it. */
+/** Injects a fault into a group of a deployment and returns a function that ends it. */
 type BeginFault = (deployment: Deployment, group: string, random: RandomSource) => Promise<EndFault> | EndFault
 
 const LONG_LAG_MS = 800
 const SLOW_MS = 700
 const LOST_ANSWERS = 2
 
-/** Begins a fault of each kind. */
+/** Injectors by fault name. */
 export const FAULTS: Record<FaultName, BeginFault> = {
   'crash-primary': async (deployment, group) => {
     const primary = deployment.primaryOf(group)
@@ -100,9 +100,9 @@
 }
 
 /**
- * Makes a schedule: faults one after the other or two at once.
+ * Generates a schedule of evenly spaced faults, of which neighbours may overlap.
  *
- * @param random - source of the choices
+ * @param random - random source
  * @param durationMs - length of the run, in milliseconds
  * @param count - number of faults
  * @returns the schedule
--- a/src/emulation/load/final-state.ts
+++ b/src/emulation/load/final-state.ts
@@ -1,10 +1,10 @@
-/** What a group holds in the end, read from its primary past every proxy, and what it starts with. */
+/** Sets up the initial data of a group, and reads its final state directly from the primary. */
 import mysql from 'mysql2/promise'
 import type { Endpoint } from '../../core/wire/dialer.ts'
 import type { FinalRecord, FinalState } from './history.ts'
 import { REGISTER_START, REGISTERS } from './operations.ts'
 
-/** How to log in on an upstream. */
+/** Address and credentials of an upstream. */
 export interface UpstreamLogin extends Endpoint {
   user: string
   password: string
@@ -12,7 +12,7 @@
 }
 
 /**
- * Fills the registers.
+ * Inserts the registers with their initial values.
  *
  * @param login - the primary, or a proxy
  * @returns the sum of all registers
@@ -27,10 +27,10 @@
 }
 
 /**
- * Reads the final state.
+ * Reads all records and the sum of all registers.
  *
  * @param login - the primary
- * @returns records and sum
+ * @returns the final state
  */
 export async function readFinalState (login: UpstreamLogin): Promise<FinalState> {
   const connection = await connect(login)
--- a/src/emulation/load/history.ts
+++ b/src/emulation/load/history.ts
@@ -1,65 +1,65 @@
-/** What callers did and saw. */
+/** Types of a run's history: the operations of callers and their outcomes. */
 import type { Verdict } from '../../core/errors/index.ts'
 
-/** How a request ended for its caller. */
+/** Outcome of a request, as its caller saw it. */
 export type Outcome =
   | { type: 'done' }
   | { type: 'refused', verdict: Verdict, message: string }
 
-/** What a caller did. */
+/** Operation of a caller, with what it observed. */
 export type Operation =
-  /** Inserted one record under a request key. */
+  /** Inserts one record under a request key. */
   | { type: 'purchase', request: string }
-  /** Read the requests of its own session. */
+  /** Reads the requests of its own session. */
   | { type: 'read-own', handle: 'token' | 'id' | 'connection', seen: string[] }
-  /** Moved an amount between two registers and left two records, in a transaction. */
+  /** Moves an amount between two registers and inserts two records, in one transaction. */
   | { type: 'transfer', request: string }
-  /** Read all registers at once. */
+  /** Reads the sum of all registers in one statement. */
   | { type: 'total', total: number }
-  /** Asked for a number of rows that carry a mark of its own. */
+  /** Reads a number of generated rows that carry a unique mark; `foreign` counts rows with another mark. */
   | { type: 'echo', mark: string, wanted: number, received: number, foreign: number }
 
-/** One request of a caller. */
+/** One operation of a session. */
 export interface HistoryEvent {
-  /** Identity of the session. */
+  /** Session ID. */
   session: string
-  /** Count of the requests of the session. */
+  /** Number of the operation within its session, from 0. */
   sequence: number
   proxy: number
-  /** Start, in milliseconds since the run began. */
+  /** Start, in milliseconds since the start of the workload. */
   startedAt: number
-  /** End, in milliseconds since the run began. */
+  /** End, in milliseconds since the start of the workload. */
   endedAt: number
   operation: Operation
   outcome: Outcome
 }
 
-/** A record the group holds in the end. */
+/** A record in the database at the end of a run. */
 export interface FinalRecord {
   session: string
   request: string
 }
 
-/** What the group holds in the end. */
+/** Content of a group's database at the end of a run. */
 export interface FinalState {
   records: FinalRecord[]
   /** Sum of all registers. */
   total: number
 }
 
-/** A run that can be checked. */
+/** Complete history of a run, as input of the checks. */
 export interface History {
   events: HistoryEvent[]
   final: FinalState
-  /** Sum of all registers at the start, which transfers keep. */
+  /** Initial sum of all registers, which transfers preserve. */
   startTotal: number
 }
 
-/** A promise that was broken. */
+/** A violation of a guarantee. */
 export interface Violation {
   check: string
   description: string
 }
 
-/** Suffixes of the two records that a transfer leaves. */
+/** Suffixes of the two records that a transfer inserts. */
 export const TRANSFER_HALVES = ['-out', '-in'] as const
--- a/src/emulation/load/operations.ts
+++ b/src/emulation/load/operations.ts
@@ -1,38 +1,38 @@
-/** What a worker can do, by the type of operation. Each returns what it saw; it throws what its caller got. */
+/** Implements the operations of a workload. Each fills in what it observed and throws the error of its caller. */
 import type { Caller } from './caller.ts'
 import type { Operation } from './history.ts'
 import { TRANSFER_HALVES } from './history.ts'
 import type { RandomSource } from './random.ts'
 
-/** A session that does operations. */
+/** A session that runs operations. */
 export interface Session {
   id: string
   caller: Caller
   random: RandomSource
-  /** How reads name the session. */
+  /** How requests identify the session. */
   handle: 'token' | 'id' | 'connection'
-  /** The newest token, when the session carries one. */
+  /** Latest session token, for the handle `token`. */
   token?: string
-  /** Returns a new name for a request. */
+  /** Returns a new, unique request key. */
   nextRequest: () => string
 }
 
-/** Operation types. */
+/** Discriminator of {@link Operation}. */
 export type OperationType = Operation['type']
 
-/** An operation in progress: what is known of it before it ends, and the work. */
+/** An operation with the function that runs it and fills in what it observed. */
 interface StartedOperation {
   operation: Operation
   run: () => Promise<void>
 }
 
-/** Registers between which transfers move amounts. */
+/** Names of the registers between which transfers move amounts. */
 export const REGISTERS = ['alpha', 'beta', 'gamma', 'delta']
-/** Value each register starts with. */
+/** Initial value of each register. */
 export const REGISTER_START = 1000
-const MOST_ECHO_ROWS = 40
+const MAXIMUM_ECHO_ROWS = 40
 
-/** Starts an operation of each type. */
+/** Creates an operation by its type. */
 export const OPERATIONS: Record<OperationType, (session: Session) => StartedOperation> = {
   purchase: (session) => {
     const request = session.nextRequest()
@@ -42,7 +42,7 @@
         const hint = hintOf(session, 'purchase', request)
         const sql = `INSERT INTO records (session, request, amount) VALUES (?, ?, 1) ${hint}`
         await session.caller.query(sql, [session.id, request])
-        await carryToken(session)
+        await refreshToken(session)
       }
     }
   },
@@ -54,7 +54,7 @@
         const sql = `SELECT request FROM records WHERE session = ? ${hintOf(session, 'grid')}`
         const rows = await session.caller.query(sql, [session.id])
         operation.seen = rows.map((row) => String(row['request']))
-        await carryToken(session)
+        await refreshToken(session)
       }
     }
   },
@@ -75,12 +75,12 @@
           }
           await caller.query('UPDATE registers SET value = value + 1 WHERE name = ?', [to])
         } catch (thrown) {
-          // The first failure is what is reported; a connection that cannot roll back is not used again.
+          // The original error is reported; a connection whose rollback fails is closed.
           await caller.query('ROLLBACK').catch(() => caller.close())
-          throw asNotRun(thrown)
+          throw toRolledBackError(thrown)
         }
         await caller.query('COMMIT')
-        await carryToken(session)
+        await refreshToken(session)
       }
     }
   },
@@ -96,7 +96,7 @@
   },
   echo: (session) => {
     const mark = session.nextRequest()
-    const wanted = session.random.integer(1, MOST_ECHO_ROWS)
+    const wanted = session.random.integer(1, MAXIMUM_ECHO_ROWS)
     const operation: Operation = { type: 'echo', mark, wanted, received: 0, foreign: 0 }
     return {
       operation,
@@ -111,12 +111,12 @@
   }
 }
 
-/** An error before COMMIT was sent: the transaction is rolled back whatever became of the statement. */
+/** Error before COMMIT was sent: the transaction is rolled back, whether or not the statement ran. */
 class RolledBackError extends Error {
   readonly sqlState = '40000'
 }
 
-function asNotRun (thrown: unknown): Error {
+function toRolledBackError (thrown: unknown): Error {
   return new RolledBackError(thrown instanceof Error ? thrown.message.replace(/\[verdict: [a-z-]+\]/, '') : String(thrown))
 }
 
@@ -132,7 +132,7 @@
   return `/*${pairs.join(',')}*/`
 }
 
-async function carryToken (session: Session): Promise<void> {
+async function refreshToken (session: Session): Promise<void> {
   if (session.handle !== 'token') {
     return
   }
--- a/src/emulation/load/random.ts
+++ b/src/emulation/load/random.ts
@@ -1,21 +1,21 @@
-/** Random numbers from a seed, so that a run can be repeated. */
+/** Seeded random numbers, for reproducible runs. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
-/** Random choices. */
+/** Source of seeded random values. */
 export interface RandomSource {
-  /** Returns a whole number between two bounds, both included. */
+  /** Returns an integer between two inclusive bounds. */
   integer: (lowest: number, highest: number) => number
-  /** Returns one of several values. */
+  /** Returns a random element. */
   pick: <Value>(values: readonly Value[]) => Value
-  /** Returns true with a probability. */
+  /** Returns true with the given probability. */
   chance: (probability: number) => boolean
 }
 
-const GRAIN = 1_000_000
+const RESOLUTION = 1_000_000
 
 /**
- * Creates a source.
+ * Creates a random source.
  *
  * @param seed - the seed
  * @returns the source
@@ -26,6 +26,6 @@
   return {
     integer,
     pick: (values) => values[integer(0, values.length - 1)]!,
-    chance: (probability) => integer(0, GRAIN - 1) < probability * GRAIN
+    chance: (probability) => integer(0, RESOLUTION - 1) < probability * RESOLUTION
   }
 }
--- a/src/emulation/load/summary.ts
+++ b/src/emulation/load/summary.ts
@@ -1,8 +1,8 @@
-/** Figures from a history: throughput, latency, and the gap of a failover as callers see it. */
+/** Computes throughput, latency and failover gap from a history. */
 import { build, type Histogram } from 'hdr-histogram-js'
 import type { HistoryEvent } from './history.ts'
 
-/** Figures of one run. */
+/** Throughput, outcomes and latency percentiles of one run. */
 interface Summary {
   operations: number
   done: number
@@ -15,11 +15,11 @@
   writeP99Ms: number
 }
 
-const MICROSECONDS = 1000
+const MICROSECONDS_PER_MS = 1000
 const HIGHEST_MICROSECONDS = 60_000_000
 
 /**
- * Creates a histogram of times.
+ * Creates a histogram of durations.
  *
  * @returns the histogram, in microseconds
  */
@@ -32,31 +32,31 @@
 }
 
 /**
- * Records a time.
+ * Records a duration.
  *
- * @param histogram - where to record it
- * @param durationMs - the time, in milliseconds
+ * @param histogram - the histogram
+ * @param durationMs - the duration, in milliseconds
  */
 export function recordTime (histogram: Histogram, durationMs: number): void {
-  histogram.recordValue(Math.min(HIGHEST_MICROSECONDS, Math.max(1, Math.round(durationMs * MICROSECONDS))))
+  histogram.recordValue(Math.min(HIGHEST_MICROSECONDS, Math.max(1, Math.round(durationMs * MICROSECONDS_PER_MS))))
 }
 
 /**
- * Reads a percentile.
+ * Returns a percentile.
  *
- * @param histogram - a histogram of times
+ * @param histogram - a histogram of durations
  * @param percentile - 0 to 100
- * @returns milliseconds with two decimals
+ * @returns milliseconds, rounded to two decimal places
  */
 export function percentileMs (histogram: Histogram, percentile: number): number {
-  return Math.round(histogram.getValueAtPercentile(percentile) / MICROSECONDS * 100) / 100
+  return Math.round(histogram.getValueAtPercentile(percentile) / MICROSECONDS_PER_MS * 100) / 100
 }
 
 /**
- * Sums a run up.
+ * Summarizes a run.
  *
- * @param events - the run
- * @returns its figures
+ * @param events - events of the run
+ * @returns the summary
  */
 export function summarize (events: HistoryEvent[]): Summary {
   const reads = createTimeHistogram()
@@ -82,16 +82,15 @@
   }
 }
 
-/** Time after a failure in which its gap is looked for, in milliseconds. */
+/** Time after a failure in which the end of its gap is searched, in milliseconds. */
 const GAP_WINDOW_MS = 10_000
 
 /**
- * Finds the gap around a failover as callers see it: the longest time without an acknowledged write that ends after the
- * failure.
+ * Returns the longest interval between acknowledged writes that ends after the failure.
  *
- * @param events - the run
- * @param failedAt - when the primary failed, in milliseconds since the run began
- * @returns the gap in milliseconds, or undefined when no write was acknowledged after it
+ * @param events - events of the run
+ * @param failedAt - when the primary failed, in milliseconds since the start of the run
+ * @returns the gap in milliseconds, or undefined when no write was acknowledged after the failure
  */
 export function failoverGapMs (events: HistoryEvent[], failedAt: number): number | undefined {
   const acknowledgedAt = events
--- a/src/emulation/load/workload.ts
+++ b/src/emulation/load/workload.ts
@@ -1,4 +1,4 @@
-/** Workers: sessions that do operations one after the other, and roam between proxies. */
+/** Runs concurrent sessions, each of which executes operations sequentially and switches between proxies. */
 import { pause } from '../../core/time/deadline.ts'
 import { createCaller, readOutcome, type CallerTarget } from './caller.ts'
 import type { HistoryEvent, Outcome } from './history.ts'
@@ -10,32 +10,32 @@
   target: CallerTarget
   seed: number
   sessions: number
-  /** Time the workload lasts, in milliseconds. */
+  /** Duration of the workload, in milliseconds. */
   durationMs: number
-  /** Relative frequency of each operation. */
+  /** Relative weight of each operation. */
   mix: Record<OperationType, number>
-  /** Probability that a session goes to another proxy before an operation. */
+  /** Probability that a session picks a proxy at random before an operation. */
   roaming: number
-  /** How sessions name themselves; they take turns. */
+  /** Kinds of session handles, assigned to the sessions in rotation. */
   handles: Array<Session['handle']>
   /** Pause between two operations of a session, in milliseconds. */
   thinkMs: number
-  /** Told of every event as it ends. */
+  /** Called with each event when it ends. */
   onEvent?: (event: HistoryEvent) => void
-  /** Ends the workload early. */
+  /** Stops the workload early. */
   stopping?: AbortSignal
 }
 
-/** A mix with few writes, as grid loads have. */
+/** A read-mostly mix, as data grids produce. */
 export const GRID_MIX: Record<OperationType, number> = {
   purchase: 5, 'read-own': 80, transfer: 0, total: 0, echo: 15
 }
-/** A mix that exercises every promise. */
+/** A mix that exercises every guarantee. */
 export const FULL_MIX: Record<OperationType, number> = {
   purchase: 30, 'read-own': 35, transfer: 15, total: 10, echo: 10
 }
 
-/** Times a write whose outcome is unknown is sent again under its key. */
+/** Number of retries of a write with an unknown outcome, under the same key. */
 const REPEATS = 2
 /** Pause after a failed operation, in milliseconds. */
 const FAILURE_PAUSE_MS = 20
@@ -43,8 +43,8 @@
 /**
  * Runs a workload to its end.
  *
- * @param options - who, where and how
- * @returns what callers did and saw, in the order in which it ended
+ * @param options - target, sessions and operations
+ * @returns the events, in the order in which they ended
  */
 export async function runWorkload (options: WorkloadOptions): Promise<HistoryEvent[]> {
   const events: HistoryEvent[] = []
@@ -102,8 +102,8 @@
 }
 
 /**
- * A purchase whose outcome is unknown is repeated under the same key, as a careful caller would. That a repetition was
- * refused says nothing of the first try, so only an answer ends the doubt.
+ * Retries an operation with an unknown outcome under the same key. A refused retry says nothing about the first
+ * attempt, so the outcome stays unknown until an attempt succeeds.
  */
 async function attempt (run: () => Promise<void>, repeats: number): Promise<Outcome> {
   let outcome: Outcome = { type: 'done' }
@@ -125,7 +125,7 @@
   return outcome
 }
 
-/** The connection is the session of a worker that carries no handle: it ends with it. */
+/** Switches proxies, unless the connection is the session and reconnecting would end it. */
 async function roamAfterFailure ({ handle, caller, random }: Session, target: CallerTarget): Promise<void> {
   if (handle !== 'connection') {
     await caller.roam(random.integer(0, target.proxies.length - 1))
--- a/test/emulation/load/checks.test.ts
+++ b/test/emulation/load/checks.test.ts
@@ -5,7 +5,7 @@
 
 const NOT_RUN: Outcome = { type: 'refused', verdict: 'not-run', message: '' }
 
-/** Builds a history of one session. */
+/** Builds the history of a single session. */
 function historyOf (operations: Array<[Operation, Outcome?]>, requests: string[], total = 0): History {
   const events = operations.map(([operation, outcome = { type: 'done' }], sequence): HistoryEvent => ({
     session: 's', sequence, proxy: 0, startedAt: sequence, endedAt: sequence + 1, operation, outcome
@@ -16,7 +16,7 @@
 const purchase = (request: string): Operation => ({ type: 'purchase', request })
 const read = (...seen: string[]): Operation => ({ type: 'read-own', handle: 'token', seen })
 
-/** One history for each promise that breaks this promise. */
+/** For each guarantee, a history that violates it. */
 const BROKEN: Record<string, History> = {
   'acknowledged-survives': historyOf([[purchase('a')]], []),
   'at-most-once': historyOf([[purchase('a')]], ['a', 'a']),
@@ -30,13 +30,13 @@
 
 describe('checkHistory', () => {
   for (const check of Object.keys(CHECKERS)) {
-    it(`finds a history that breaks ${check}`, () => {
+    it(`detects a violation of ${check}`, () => {
       const found = checkHistory(BROKEN[check]!).map((violation) => violation.check)
       expect(found.includes(check)).toEqual(true)
     })
   }
 
-  it('finds nothing in a history that keeps every promise', () => {
+  it('reports no violations for a history that meets every guarantee', () => {
     const history = historyOf([
       [purchase('a')], [read('a')], [purchase('b'), NOT_RUN], [{ type: 'transfer', request: 't' }],
       [{ type: 'total', total: 0 }], [read('a', 't-out', 't-in')]
@@ -44,7 +44,7 @@
     expect(checkHistory(history)).toEqual([])
   })
 
-  it('takes the last word on a request that was sent again under its key', () => {
+  it('uses the last outcome of a request that was retried under its key', () => {
     expect(checkHistory(historyOf([[purchase('a'), NOT_RUN], [purchase('a')]], ['a']))).toEqual([])
   })
 })
