--- a/src/emulation/standin/change-signal.ts
+++ b/src/emulation/standin/change-signal.ts
@@ -1,18 +1,18 @@
-/** Notifies those who wait for it that something has changed. */
+/** Wakes waiting callers when a change is signalled. */
 export class ChangeSignal {
   private readonly listeners = new Set<() => void>()
 
-  /** Notifies all who wait now. */
+  /** Wakes all current waiters. */
   notify (): void {
-    const told = [...this.listeners]
+    const notified = [...this.listeners]
     this.listeners.clear()
-    told.forEach((listener) => listener())
+    notified.forEach((listener) => listener())
   }
 
   /**
-   * Waits for the next change.
+   * Waits for the next change or the timeout.
    *
-   * @param timeoutMs - greatest wait, in milliseconds
+   * @param timeoutMs - maximum wait, in milliseconds
    */
   async wait (timeoutMs: number): Promise<void> {
     await new Promise<void>((resolve) => {
--- a/src/emulation/standin/control-server.ts
+++ b/src/emulation/standin/control-server.ts
@@ -1,4 +1,4 @@
-/** Fault control of the stand-ins over HTTP, for load tools and tests in other processes. */
+/** HTTP server that injects faults into the stand-ins, for load tools and tests in other processes. */
 import { createServer } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import * as z from 'zod'
@@ -9,7 +9,7 @@
 
 const upstreamFault = z.strictObject({ group: z.string(), upstream: z.string() })
 
-/** Faults that can be asked for. */
+/** Body of `POST /faults`. */
 const faultSchema = z.discriminatedUnion('type', [
   upstreamFault.extend({ type: z.literal('crash') }),
   upstreamFault.extend({ type: z.literal('restart') }),
@@ -31,13 +31,13 @@
   z.strictObject({ type: z.literal('remove-host'), host: z.string() })
 ])
 
-/** A fault to bring about. */
+/** A fault to inject. */
 export type Fault = z.infer<typeof faultSchema>
 
 type FaultHandlers = { [Type in Fault['type']]: (fault: Extract<Fault, { type: Type }>) => Promise<void> | void }
 
 /**
- * Brings a fault about.
+ * Injects a fault.
  *
  * @param standins - the stand-ins
  * @param fault - the fault
@@ -71,7 +71,7 @@
   await (handlers[fault.type] as (fault: Fault) => Promise<void> | void)(fault)
 }
 
-/** State of all stand-ins, for a dump. */
+/** Returns the state of all stand-ins, as `GET /dump` shows it. */
 export function dumpStandins (standins: Standins): unknown {
   return {
     platform: { faults: standins.platform.faults, counts: standins.platform.counts },
@@ -86,12 +86,12 @@
 }
 
 /**
- * Listens for faults: `POST /faults` with a fault in JSON, `GET /dump` for the state.
+ * Starts the HTTP server: `POST /faults` takes a fault as JSON, `GET /dump` returns the state.
  *
  * @param standins - the stand-ins
- * @param address - IP number to listen on
- * @param port - port; 0 lets the system choose
- * @returns the port, and how to stop
+ * @param address - IP address to listen on
+ * @param port - port to listen on; 0 for an ephemeral port
+ * @returns the port, and a function that stops the server
  */
 export async function serveControl (
   standins: Standins, address: string, port: number
--- a/src/emulation/standin/database.ts
+++ b/src/emulation/standin/database.ts
@@ -1,4 +1,4 @@
-/** A small SQL database in memory, on SQLite compiled to WebAssembly. */
+/** An in-memory SQL database, based on SQLite compiled to WebAssembly. */
 import initSqlJs, { type Database as SqlDatabase, type SqlJsStatic, type SqlValue } from 'sql.js'
 import { COLUMN_TYPE, BINARY_CHARACTER_SET, TEXT_CHARACTER_SET } from '../../mysql/consts.ts'
 import { tokenizeStatement } from '../../mysql/statement-lexer.ts'
@@ -8,13 +8,13 @@
 
 const READ_WORDS = new Set(['SELECT', 'WITH', 'VALUES', 'EXPLAIN', 'PRAGMA', 'SHOW'])
 
-/** A database. */
+/** An open database. */
 export interface Database {
   /** Runs one statement. */
   run: (statement: Statement) => Answer
-  /** Refuses changes from now on, or allows them. */
+  /** Makes the database read-only or writable. */
   setReadOnly: (readOnly: boolean) => void
-  /** Returns the whole content. */
+  /** Returns the serialized database. */
   snapshot: () => Uint8Array
   close: () => void
 }
@@ -22,7 +22,7 @@
 /**
  * Opens a database.
  *
- * @param content - what `snapshot` returned; empty when absent
+ * @param content - result of `snapshot`; absent for an empty database
  * @returns the database
  */
 export async function openDatabase (content?: Uint8Array): Promise<Database> {
@@ -31,20 +31,20 @@
 }
 
 /**
- * Says whether a statement only reads.
+ * Returns whether a statement is a read.
  *
  * @param sql - the statement
- * @returns whether its first word is one that reads
+ * @returns whether its first keyword is that of a read
  */
 export function isReadStatement (sql: string): boolean {
   return READ_WORDS.has(firstWord(sql))
 }
 
 /**
- * Returns the first word of a statement, in upper case.
+ * Returns the first keyword of a statement in upper case, skipping comments.
  *
  * @param sql - the statement
- * @returns the word, or an empty string
+ * @returns the keyword, or an empty string
  */
 export function firstWord (sql: string): string {
   return /^(?:\s|\/\*[\s\S]*?\*\/)*([A-Za-z]+)/.exec(sql)?.[1]?.toUpperCase() ?? ''
@@ -96,7 +96,7 @@
   return Number(database.exec('SELECT last_insert_rowid()')[0]?.values[0]?.[0] ?? 0)
 }
 
-/** MySQL clients escape quotes with a backslash, which SQLite does not know. */
+/** Replaces backslash escapes of MySQL string literals, which SQLite does not support. */
 function translateEscapes (sql: string): string {
   if (!sql.includes('\\')) {
     return sql
@@ -138,7 +138,7 @@
   })
 }
 
-/** SQLite types values, not columns; the first value that is not null decides. */
+/** Infers the column type from the first non-null value, as SQLite types values rather than columns. */
 function describeColumn (name: string, rows: SqlValue[][], index: number): Column {
   const sample = rows.find((row) => row[index] !== null)?.[index]
   const column = { name, flags: 0, columnLength: 65535, decimals: 0 }
--- a/src/emulation/standin/exclusive-access.ts
+++ b/src/emulation/standin/exclusive-access.ts
@@ -1,11 +1,11 @@
-/** Lets one user at a time at something, in the order in which they ask. */
+/** A fair mutex: grants access to one holder at a time, in FIFO order. */
 export class ExclusiveAccess {
   private last: Promise<void> = Promise.resolve()
 
   /**
-   * Waits for access.
+   * Waits for exclusive access.
    *
-   * @returns ends the access; must be called once
+   * @returns function that releases the access; must be called once
    */
   async acquire (): Promise<() => void> {
     let release = (): void => {}
@@ -16,10 +16,10 @@
   }
 
   /**
-   * Does work with access.
+   * Runs a function with exclusive access.
    *
-   * @param work - the work
-   * @returns what the work returned
+   * @param work - the function to run
+   * @returns its result
    */
   async during<Result> (work: () => Promise<Result>): Promise<Result> {
     const release = await this.acquire()
--- a/src/emulation/standin/index.ts
+++ b/src/emulation/standin/index.ts
@@ -10,9 +10,9 @@
   platform: PlatformServer
   /** Upstreams by group and name. */
   groups: Map<string, Map<string, UpstreamServer>>
-  /** Cuts replication between two upstreams, both ways. */
+  /** Cuts replication between two upstreams in both directions. */
   cutReplication: (left: string, right: string) => void
-  /** Mends all replication. */
+  /** Restores replication between all upstreams. */
   mendReplication: () => void
   close: () => Promise<void>
 }
@@ -20,8 +20,8 @@
 /**
  * Starts the stand-ins.
  *
- * @param settings - what to serve
- * @param logger - for events
+ * @param settings - groups, hosts and platform to serve
+ * @param logger - logger of the upstreams
  * @returns the running stand-ins
  */
 export async function startStandins (settings: StandinSettings, logger: Logger): Promise<Standins> {
--- a/src/emulation/standin/ledger-schema.ts
+++ b/src/emulation/standin/ledger-schema.ts
@@ -1,6 +1,6 @@
-/** Tables that every stand-in upstream has. */
+/** Schema that every stand-in upstream creates at its start. */
 
-/** The ledger table. The primary key is what decides between two attempts. */
+/** The request ledger; its primary key ensures that only one attempt per request key takes effect. */
 export const LEDGER_SCHEMA = [
   `CREATE TABLE IF NOT EXISTS worksward_ledger (
     scope TEXT NOT NULL, request_key TEXT NOT NULL, fingerprint TEXT NOT NULL, state TEXT NOT NULL,
--- a/src/emulation/standin/object-store.ts
+++ b/src/emulation/standin/object-store.ts
@@ -1,20 +1,20 @@
-/** A stand-in for the object store: put, get and list of S3, on a map in memory. */
+/** An in-memory stand-in for the object store with the S3 operations put, get and list. */
 
-/** An answer of the store: an HTTP status and a body. */
+/** HTTP response of the store. */
 interface ObjectAnswer {
   status: number
   body: string | Buffer
   contentType: string
 }
 
-/** The store. */
+/** An object store. */
 interface ObjectStore {
   /**
    * Runs an operation.
    *
    * @param method - HTTP method
    * @param url - path and query of the request
-   * @param body - content of a put
+   * @param body - content of the object, for a put
    * @returns the answer
    */
   call: (method: string, url: URL, body: Buffer) => ObjectAnswer
--- a/src/emulation/standin/platform-server.ts
+++ b/src/emulation/standin/platform-server.ts
@@ -1,4 +1,4 @@
-/** The platform's stand-ins behind one HTTP port, with rate limits, outage, slowness and lost answers. */
+/** Serves the platform's stand-ins on one HTTP port, with rate limits and injected faults. */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { setTimeout as sleep } from 'node:timers/promises'
@@ -6,15 +6,15 @@
 import { createObjectStore } from './object-store.ts'
 import { createTableService, type TableAnswer } from './table-service.ts'
 
-/** Faults of the platform. */
+/** Injected faults of the platform. */
 interface PlatformFaults {
-  /** Connections break without an answer, nothing takes effect. */
+  /** Requests are dropped without an answer or effect. */
   outage: boolean
-  /** Added to each answer, in milliseconds. */
+  /** Latency added to each answer, in milliseconds. */
   slowMs: number
-  /** Answers to writes still to be lost after the write took effect. */
+  /** Number of further writes that take effect but whose answer is lost. */
   loseWriteAnswers: number
-  /** Time until a change of the list of hosts shows, in milliseconds. */
+  /** Delay before a change to the list of hosts becomes visible, in milliseconds. */
   hostsLagMs: number
 }
 
@@ -27,41 +27,41 @@
   writesPerSecond: number
 }
 
-/** Counts of calls. */
+/** Calls of the table service since the start. */
 interface PlatformCounts {
   reads: number
   writes: number
   throttled: number
 }
 
-/** The served platform. */
+/** The running platform server. */
 export interface PlatformServer {
-  /** URL of both services. */
+  /** URL of the table service and the object store. */
   endpoint: string
   faults: PlatformFaults
   counts: PlatformCounts
-  /** Changes the list of hosts; it shows after the lag. */
+  /** Adds or replaces a host in the list of hosts, after `hostsLagMs`. */
   setHost: (row: HostRow) => void
   removeHost: (host: string) => void
   close: () => Promise<void>
 }
 
-/** Takes a token for a call, or says that there is none. */
+/** Takes a rate limit token; returns false when none is left. */
 type TakeToken = () => boolean
 
 /**
- * Starts the platform.
+ * Starts the platform server.
  *
- * @param options - address and limits
- * @returns the platform
+ * @param options - address, access keys and rate limits
+ * @returns the running server
  */
 export async function servePlatform (options: PlatformServerOptions): Promise<PlatformServer> {
   const table = createTableService()
   const objects = createObjectStore()
   const faults: PlatformFaults = { outage: false, slowMs: 0, loseWriteAnswers: 0, hostsLagMs: 0 }
   const counts: PlatformCounts = { reads: 0, writes: 0, throttled: 0 }
-  const takeRead = createTokens(options.readsPerSecond)
-  const takeWrite = createTokens(options.writesPerSecond)
+  const takeRead = createTokenBucket(options.readsPerSecond)
+  const takeWrite = createTokenBucket(options.writesPerSecond)
   const hostChanges = createDelayedChanges(() => faults.hostsLagMs)
 
   const callTable = (operation: string, body: Buffer): TableAnswer => {
@@ -113,7 +113,7 @@
   }
 
   const server = createServer((request, response) => {
-    // A request that cannot be served breaks its connection, as a faulty service would; the client reports it.
+    // A request that fails closes its connection, so that the client sees a network error.
     serve(request, response).catch(() => request.socket.destroy())
   })
   await new Promise<void>((resolve, reject) => {
@@ -144,10 +144,10 @@
   return Buffer.concat(chunks)
 }
 
-/** Changes that show only after a delay. */
+/** Applies changes after a delay. */
 interface DelayedChanges {
   make: (change: () => void) => void
-  /** Drops the changes that are still to come. */
+  /** Discards pending changes. */
   close: () => void
 }
 
@@ -169,13 +169,13 @@
   }
 }
 
-/** The stand-in checks that the access key is known; it leaves the signature to the real service. */
+/** Checks only that the access key is known; the signature is not verified. */
 function isKnownCaller (request: IncomingMessage, accessKeys: Record<string, string>): boolean {
   const match = /Credential=([^/]+)\//.exec(request.headers.authorization ?? '')
   return match !== null && accessKeys[match[1]!] !== undefined
 }
 
-function createTokens (perSecond: number): TakeToken {
+function createTokenBucket (perSecond: number): TakeToken {
   let balance = perSecond
   let refilledAt = performance.now()
   return () => {
--- a/src/emulation/standin/replication-log.ts
+++ b/src/emulation/standin/replication-log.ts
@@ -1,33 +1,33 @@
-/** The log of one stand-in upstream. */
+/** Replication log of a stand-in upstream. */
 import { LOG_START, type LogPosition } from '../../positions/position.ts'
 import type { Statement } from '../../mysql/types.ts'
 
-/** One committed change, or the start of a term when it has no statements. */
+/** A committed change; a record without statements marks the start of a term. */
 interface LogRecord extends LogPosition {
   statements: Statement[]
-  /** When the record was written, in milliseconds of the monotonic clock. */
+  /** Time of the write, in milliseconds of the monotonic clock. */
   writtenAt: number
 }
 
-/** Records kept for followers; a follower further behind takes a snapshot. */
+/** Number of retained records; a follower that lags further behind needs a snapshot. */
 const KEPT_RECORDS = 5000
 
-/** A log: where each term starts, and the newest records. */
+/** Holds the start position of each term and the latest records. */
 export class ReplicationLog {
   private termStarts: LogPosition[] = []
   private records: LogRecord[] = []
   private last: LogPosition = LOG_START
 
-  /** Where the log ends. */
+  /** Position of the last record. */
   get end (): LogPosition {
     return this.last
   }
 
   /**
-   * Appends a record at the next position.
+   * Creates a record at the next position and appends it.
    *
-   * @param term - its term
-   * @param statements - what it does
+   * @param term - term of the record
+   * @param statements - statements that the record replays
    * @returns the record
    */
   append (term: number, statements: Statement[]): LogRecord {
@@ -37,7 +37,7 @@
   }
 
   /**
-   * Takes over a record of another log.
+   * Appends a record that was copied from another log.
    *
    * @param record - the record that follows the end of this log
    */
@@ -53,10 +53,10 @@
   }
 
   /**
-   * Says whether this log continues another one.
+   * Returns whether another log is a prefix of this one.
    *
-   * @param end - where the other log ends
-   * @returns whether it is a prefix of this one
+   * @param end - last position of the other log
+   * @returns whether this log contains that position with the same term
    */
   continues (end: LogPosition): boolean {
     return end.position === 0 || (end.position <= this.last.position && this.termAt(end.position) === end.term)
@@ -66,14 +66,14 @@
    * Returns the record after a position.
    *
    * @param position - the position
-   * @returns the record, or undefined when there is none or it is no longer kept
+   * @returns the record, or undefined when it does not exist or is no longer retained
    */
   after (position: number): LogRecord | undefined {
     const first = this.records[0]
     return first === undefined ? undefined : this.records[position + 1 - first.position]
   }
 
-  /** Takes over another log whole. */
+  /** Replaces the content of this log by a copy of another one. */
   copyFrom (other: ReplicationLog): void {
     this.termStarts = [...other.termStarts]
     this.records = [...other.records]
--- a/src/emulation/standin/replication.ts
+++ b/src/emulation/standin/replication.ts
@@ -1,21 +1,21 @@
-/** Replication of a stand-in upstream: applies the records of the primary that it follows, each after a lag. */
+/** Asynchronous replication of a stand-in upstream: applies the records of its primary after a configured lag. */
 import type { Statement } from '../../mysql/types.ts'
 import { openDatabase, type Database } from './database.ts'
 import type { ReplicationLog } from './replication-log.ts'
 
-/** Time after which a follower tries again to reach its primary, in milliseconds. */
+/** Retry interval of a follower whose primary is unreachable, in milliseconds. */
 const RECONNECT_MS = 5
-/** Time after which a snapshot is tried again while a transaction is open at the primary, in milliseconds. */
+/** Retry interval for a snapshot while a transaction is open on the primary, in milliseconds. */
 const SNAPSHOT_RETRY_MS = 1
 
-/** What can be applied now: nothing, nothing until the primary is reached again, or the records of a primary. */
+/** The primary's log and snapshot; `none` without a primary to follow, `unreachable` while it cannot be reached. */
 export type ReplicationSource = 'none' | 'unreachable' | {
   log: ReplicationLog
-  /** The content of the primary's database; undefined while a transaction is open there. */
+  /** Returns the primary's serialized database, or undefined while a transaction is open there. */
   snapshot: () => Uint8Array | undefined
 }
 
-/** The upstream whose database follows. */
+/** Accessors and callbacks of the upstream that replicates. */
 interface ReplicationOptions {
   log: ReplicationLog
   lagMs: () => number
@@ -23,14 +23,14 @@
   findSource: () => ReplicationSource
   database: () => Database
   replaceDatabase: (database: Database) => void
-  /** Runs work while nobody else uses the database. */
+  /** Runs a function with exclusive access to the database. */
   exclusively: <Result>(work: () => Promise<Result>) => Promise<Result>
   onChange: () => void
-  /** Called when records were dropped because another primary went another way. */
+  /** Called with the number of local records that were discarded because they diverged from the primary's log. */
   onDiscarded: (records: number) => void
 }
 
-/** Applies records until closed. */
+/** Applies the primary's records until it is closed. */
 export class Replication {
   private readonly options: ReplicationOptions
   private timer: NodeJS.Timeout | undefined
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Applies what has arrived after a while, unless that is planned already.
+   * Schedules the next application of records, unless one is already scheduled.
    *
-   * @param delayMs - the time, in milliseconds
+   * @param delayMs - delay, in milliseconds
    */
   schedule (delayMs: number): void {
     if (this.timer !== undefined || this.closed) {
@@ -56,14 +56,14 @@
     }, delayMs)
   }
 
-  /** Applies what has arrived now, whatever was planned. */
+  /** Reschedules the next application of records to run immediately. */
   restart (): void {
     clearTimeout(this.timer)
     this.timer = undefined
     this.schedule(0)
   }
 
-  /** Stops applying. */
+  /** Cancels the scheduled application and prevents further ones. */
   close (): void {
     this.closed = true
     clearTimeout(this.timer)
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Returns when to look again, in milliseconds, or undefined when the next change will say so. */
+  /** Returns the delay until the next attempt, in milliseconds, or undefined to wait for the next change. */
   private async applyArrived (): Promise<number | undefined> {
     const source = this.options.findSource()
     if (source === 'none') {
@@ -95,7 +95,7 @@
     }
     return source.log.continues(this.options.log.end)
       ? await this.applyRecords(source)
-      : await this.takeSnapshot(source)
+      : await this.loadSnapshot(source)
   }
 
   private async applyRecords (source: Exclude<ReplicationSource, string>): Promise<number | undefined> {
@@ -106,7 +106,7 @@
       while (log.end.position < source.log.end.position) {
         const record = source.log.after(log.end.position)
         if (record === undefined) {
-          return await this.takeSnapshot(source)
+          return await this.loadSnapshot(source)
         }
         const dueInMs = record.writtenAt + lagMs() - performance.now()
         if (dueInMs > 0) {
@@ -122,7 +122,7 @@
     return undefined
   }
 
-  private async takeSnapshot (source: Exclude<ReplicationSource, string>): Promise<number> {
+  private async loadSnapshot (source: Exclude<ReplicationSource, string>): Promise<number> {
     const { log, onChange, onDiscarded, replaceDatabase } = this.options
     const content = source.snapshot()
     if (content === undefined) {
--- a/src/emulation/standin/request-ledger.ts
+++ b/src/emulation/standin/request-ledger.ts
@@ -1,4 +1,4 @@
-/** The procedures by which a request runs at most once. */
+/** Ledger procedures that ensure a request runs at most once. */
 import { Buffer } from 'node:buffer'
 import type { UpstreamStatus } from '../../mysql-proxy/upstreams/status.ts'
 import type { RowsAnswer, Statement } from '../../mysql/types.ts'
@@ -6,19 +6,19 @@
 import type { Upstream } from './upstream.ts'
 import { textColumn } from '../../mysql/answer-writer.ts'
 
-/** A key and the attempt made under it. */
+/** A request key and one attempt to run the request. */
 export interface LedgerAttempt {
   scope: string
   key: string
   fingerprint: string
   attempt: number
   createdAt: number
-  /** Outcome of the request, recorded with its key. */
+  /** Result of the request, recorded with its key. */
   affectedRows: number
   insertId: number
 }
 
-/** A row of the ledger, as the procedures return it. */
+/** A ledger record, as the procedures return it. */
 interface LedgerRow {
   state: string
   fingerprint: string
@@ -31,22 +31,22 @@
   FROM worksward_ledger WHERE scope = ? AND request_key = ?`
 
 /**
- * Enters an attempt in the ledger, inside the open transaction.
+ * Records an attempt in the ledger within the open transaction.
  *
  * @param transaction - the transaction
- * @param attempt - key and attempt
- * @returns the standing record when the key is taken, or undefined when the attempt may run
+ * @param attempt - request key and attempt
+ * @returns the existing record when it prevents the attempt, or undefined when the attempt may commit
  */
 export function enterAttempt (transaction: UpstreamTransaction, attempt: LedgerAttempt): LedgerRow | undefined {
-  const standing = findRow(transaction, attempt)
-  if (standing === undefined) {
+  const existing = findRow(transaction, attempt)
+  if (existing === undefined) {
     transaction.run(insertRow(attempt, 'done'))
     return undefined
   }
-  const mayTakeOver = standing.state === 'tombstone' && standing.attempt < attempt.attempt &&
-    standing.fingerprint === attempt.fingerprint
+  const mayTakeOver = existing.state === 'tombstone' && existing.attempt < attempt.attempt &&
+    existing.fingerprint === attempt.fingerprint
   if (!mayTakeOver) {
-    return standing
+    return existing
   }
   transaction.run({
     sql: `UPDATE worksward_ledger SET state = 'done', attempt = ?, affected_rows = ?, insert_id = ?
@@ -57,19 +57,19 @@
 }
 
 /**
- * Contests an attempt: a tombstone is entered unless the attempt has committed.
+ * Contests an attempt: inserts a tombstone that prevents its commit, unless it has already committed.
  *
  * @param upstream - the primary
- * @param attempt - key and attempt
- * @returns the record that stands
+ * @param attempt - request key and attempt
+ * @returns the resulting record
  */
 export async function contestAttempt (upstream: Upstream, attempt: LedgerAttempt): Promise<LedgerRow> {
   const transaction = await upstream.begin()
   try {
-    const standing = findRow(transaction, attempt)
-    if (standing === undefined) {
+    const existing = findRow(transaction, attempt)
+    if (existing === undefined) {
       transaction.run(insertRow(attempt, 'tombstone'))
-    } else if (standing.state === 'tombstone' && standing.attempt < attempt.attempt) {
+    } else if (existing.state === 'tombstone' && existing.attempt < attempt.attempt) {
       transaction.run({
         sql: 'UPDATE worksward_ledger SET attempt = ? WHERE scope = ? AND request_key = ?',
         values: [attempt.attempt, attempt.scope, attempt.key]
@@ -84,10 +84,10 @@
 }
 
 /**
- * Deletes old records.
+ * Builds the statement that deletes old records.
  *
- * @param before - creation time, in milliseconds of the epoch
- * @param limit - greatest number of records to delete
+ * @param before - exclusive upper bound of the creation time, in milliseconds since the epoch
+ * @param limit - maximum number of records to delete
  * @returns the statement
  */
 export function sweepStatement (before: number, limit: number): Statement {
@@ -99,11 +99,11 @@
 }
 
 /**
- * Shows a record as the answer of a procedure.
+ * Builds the answer of a ledger procedure.
  *
- * @param outcome - `entered`, `exists` when a record stood before, or `absent`
- * @param status - the upstream's status, shown beside it
- * @param row - the record, if there is one
+ * @param outcome - `entered`, `exists` for an existing record, or `absent`
+ * @param status - the upstream's status, included in the answer
+ * @param row - the record, if any
  * @returns the answer
  */
 export function ledgerAnswer (
@@ -121,9 +121,9 @@
 }
 
 /**
- * Shows named values as an answer of one row.
+ * Builds an answer with a single row.
  *
- * @param values - the values
+ * @param values - values by column name
  * @returns the answer
  */
 export function rowAnswer (values: Record<string, string | number | boolean>): RowsAnswer {
@@ -135,9 +135,9 @@
 /**
  * Finds the record of a key.
  *
- * @param transaction - where to look
- * @param attempt - the key
- * @returns the record, or undefined
+ * @param transaction - transaction to read in
+ * @param attempt - scope and key
+ * @returns the record, or undefined when there is none
  */
 export function findRow (transaction: Pick<UpstreamTransaction, 'run'>, { scope, key }: LedgerAttempt): LedgerRow | undefined {
   const answer = transaction.run({ sql: FIND, values: [scope, key] })
--- a/src/emulation/standin/table-service.ts
+++ b/src/emulation/standin/table-service.ts
@@ -1,4 +1,4 @@
-/** A stand-in for the table service: the DynamoDB operations that worksward uses, on a map in memory. */
+/** An in-memory stand-in for the table service with the DynamoDB operations that worksward uses. */
 import * as z from 'zod'
 
 const textSchema = z.object({ S: z.string() })
@@ -20,25 +20,25 @@
 type Item = z.infer<typeof itemSchema>
 type Put = z.infer<typeof putSchema>
 
-/** An answer of the service: an HTTP status and a JSON body. */
+/** HTTP response with a JSON body. */
 export interface TableAnswer {
   status: number
   body: unknown
 }
 
-/** The service. */
+/** A table service. */
 interface TableService {
   /**
    * Runs an operation.
    *
-   * @param operation - its name, such as `GetItem`
-   * @param body - its JSON body
+   * @param operation - name of the operation, such as `GetItem`
+   * @param body - parsed JSON body
    * @returns the answer
    */
   call: (operation: string, body: unknown) => TableAnswer
-  /** Whether an operation writes. */
+  /** Returns whether an operation is a write. */
   writes: (operation: string) => boolean
-  /** Puts a row without a condition, as the platform itself does. */
+  /** Puts a row unconditionally, as the platform does for its own rows. */
   put: (partition: string, sort: string, body: string) => void
   remove: (partition: string, sort: string) => void
 }
@@ -51,11 +51,11 @@
 export function createTableService (): TableService {
   const items = new Map<string, Item>()
 
-  const holds = ({ Item: item, ConditionExpression, ExpressionAttributeValues }: Put): boolean => {
-    const standing = items.get(keyOf(item.pk.S, item.sk.S))
+  const conditionHolds = ({ Item: item, ConditionExpression, ExpressionAttributeValues }: Put): boolean => {
+    const existing = items.get(keyOf(item.pk.S, item.sk.S))
     return ConditionExpression === 'attribute_not_exists(pk)'
-      ? standing === undefined
-      : standing?.version.N === ExpressionAttributeValues?.[':expected'].N
+      ? existing === undefined
+      : existing?.version.N === ExpressionAttributeValues?.[':expected'].N
   }
 
   const operations: Record<string, (body: unknown) => TableAnswer> = {
@@ -73,7 +73,7 @@
     },
     TransactWriteItems: (body) => {
       const puts = transactSchema.parse(body).TransactItems.map(({ Put }) => Put)
-      const reasons = puts.map((put) => ({ Code: holds(put) ? 'None' : 'ConditionalCheckFailed' }))
+      const reasons = puts.map((put) => ({ Code: conditionHolds(put) ? 'None' : 'ConditionalCheckFailed' }))
       if (reasons.some(({ Code }) => Code !== 'None')) {
         return failure('TransactionCanceledException', 'a condition did not hold', { CancellationReasons: reasons })
       }
--- a/src/emulation/standin/upstream-server.ts
+++ b/src/emulation/standin/upstream-server.ts
@@ -1,4 +1,4 @@
-/** Serves one stand-in upstream over the MySQL protocol, with slots, a connection limit and faults. */
+/** Serves a stand-in upstream over the MySQL protocol, with concurrency and connection limits and injected faults. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import PQueue from 'p-queue'
 import { describeThrown } from '../../core/errors/index.ts'
@@ -24,29 +24,29 @@
   writeMs: number
 }
 
-/** A served upstream. */
+/** A running server of an upstream. */
 export interface UpstreamServer {
   upstream: Upstream
   port: number
   faults: SessionFaults
-  /** Connections open now. */
+  /** Returns the number of open connections. */
   connections: () => number
-  /** Connections ever refused because the limit was reached. */
+  /** Returns the number of connections refused at the connection limit since the start. */
   refused: () => number
-  /** Kills the process: connections break, open transactions roll back. */
+  /** Simulates a crash: closes all connections and rolls back open transactions. */
   crash: () => Promise<void>
-  /** Starts it again on the same port. */
+  /** Restarts the upstream on the same port after a crash. */
   restart: () => Promise<void>
   close: () => Promise<void>
 }
 
-/** Bytes a stand-in accepts in one command. */
+/** Maximum size of one command, in bytes. */
 const STATEMENT_BYTES = 16_000_000
 
 /**
  * Starts serving an upstream.
  *
- * @param options - the upstream and its sizes
+ * @param options - the upstream, its address and limits
  * @returns the server
  */
 export async function serveUpstream (options: UpstreamServerOptions): Promise<UpstreamServer> {
--- a/src/emulation/standin/upstream-session.ts
+++ b/src/emulation/standin/upstream-session.ts
@@ -1,4 +1,4 @@
-/** One client's connection to a stand-in upstream: statements, transactions and procedures. */
+/** Handles one client connection to a stand-in upstream: statements, transactions and procedures. */
 import { setTimeout as sleep } from 'node:timers/promises'
 import type PQueue from 'p-queue'
 import { tokenizeStatement } from '../../mysql/statement-lexer.ts'
@@ -12,39 +12,39 @@
 import type { UpstreamTransaction } from './upstream-transaction.ts'
 import type { Upstream } from './upstream.ts'
 
-/** Faults that a session can meet. */
+/** Injected faults of sessions. */
 export interface SessionFaults {
-  /** Answers still to be lost after the statement took effect, by procedure or first word. */
+  /** Number of further answers to lose after the statement took effect, by procedure name or first keyword. */
   loseAnswers: Map<string, number>
 }
 
 /** Options of {@link createUpstreamSession}. */
 interface UpstreamSessionOptions {
   upstream: Upstream
-  /** Executes at most as many statements at a time as the upstream has slots. */
+  /** Queue that limits concurrent statements to the slots of the upstream. */
   slots: PQueue
-  /** Time a read keeps a slot busy, in milliseconds. */
+  /** Time a read occupies a slot, in milliseconds. */
   readMs: number
-  /** Time a write keeps a slot busy, in milliseconds. */
+  /** Time a write occupies a slot, in milliseconds. */
   writeMs: number
   faults: SessionFaults
   /** Destroys the connection. */
   destroy: () => void
 }
 
-/** Longest wait the wait procedure grants, in milliseconds. */
+/** Maximum wait of the wait procedure, in milliseconds. */
 const MAXIMUM_WAIT_MS = 5000
-/** Time between two looks at whether a frozen upstream runs again, in milliseconds. */
-const FREEZE_POLL_MS = 5
+/** Polling interval while the upstream is paused, in milliseconds. */
+const PAUSE_POLL_MS = 5
 
 /** State of a session. */
 interface SessionState {
   options: UpstreamSessionOptions
-  /** Whether every statement runs in a transaction that the client ends. */
+  /** Whether autocommit is off. */
   manualCommit: boolean
-  /** Whether the client has begun a transaction by a statement of its own. */
+  /** Whether the client has begun a transaction explicitly. */
   begun: boolean
-  /** The transaction, from its first statement on; it has the database to itself. */
+  /** The open transaction, from its first statement on; it holds exclusive access to the database. */
   transaction?: UpstreamTransaction
   closed: boolean
 }
@@ -59,9 +59,9 @@
   const state: SessionState = { options, manualCommit: false, begun: false, closed: false }
   return {
     execute: async (statement) => {
-      await whileFrozen(state)
+      await waitWhilePaused(state)
       const answer = await dispatch(state, statement)
-      await whileFrozen(state)
+      await waitWhilePaused(state)
       loseAnswer(options, statement.sql)
       return answer
     },
@@ -77,9 +77,9 @@
   }
 }
 
-async function whileFrozen (state: SessionState): Promise<void> {
+async function waitWhilePaused (state: SessionState): Promise<void> {
   while (state.options.upstream.paused && !state.closed) {
-    await sleep(FREEZE_POLL_MS)
+    await sleep(PAUSE_POLL_MS)
   }
 }
 
@@ -157,7 +157,7 @@
   const transaction = await state.options.upstream.begin()
   if (state.closed) {
     transaction.rollback()
-    throw new Error('the connection is gone')
+    throw new Error('the connection was closed')
   }
   state.transaction = transaction
   return transaction
@@ -194,9 +194,9 @@
     }
     const transaction = await openTransaction(state)
     try {
-      const standing = attempt.key === '' ? undefined : enterAttempt(transaction, attempt)
-      if (standing !== undefined) {
-        return ledgerAnswer('exists', state.options.upstream.status(), standing)
+      const existing = attempt.key === '' ? undefined : enterAttempt(transaction, attempt)
+      if (existing !== undefined) {
+        return ledgerAnswer('exists', state.options.upstream.status(), existing)
       }
       transaction.commit()
     } finally {
--- a/src/emulation/standin/upstream-transaction.ts
+++ b/src/emulation/standin/upstream-transaction.ts
@@ -1,4 +1,4 @@
-/** A client's transaction on a stand-in upstream, which has the database to itself until it ends. */
+/** A client's transaction on a stand-in upstream, with exclusive access to the database until it ends. */
 import type { Answer, Statement } from '../../mysql/types.ts'
 import type { LogPosition } from '../../positions/position.ts'
 import { isReadStatement, type Database } from './database.ts'
@@ -6,32 +6,32 @@
 /** An open transaction. */
 export interface UpstreamTransaction {
   run: (statement: Statement) => Answer
-  /** Commits and returns where the log then ends. */
+  /** Commits and returns the log's new end position. */
   commit: () => LogPosition
-  /** Rolls back, unless it has ended already. */
+  /** Rolls back, unless the transaction has already ended. */
   rollback: () => void
 }
 
 /** Options of {@link openTransaction}. */
 interface TransactionOptions {
   database: Database
-  /** Whether changes may be committed: the upstream is still the primary of the term in which it began. */
-  mayKeep: () => boolean
-  /** Takes the changes that were committed; returns where the log then ends. */
+  /** Returns whether the upstream is still the primary of the term in which the transaction began. */
+  mayCommit: () => boolean
+  /** Appends the committed changes to the log and returns the log's new end position. */
   onCommit: (changes: Statement[]) => LogPosition
   onEnd: () => void
-  /** Gives the database back. */
+  /** Releases exclusive access to the database. */
   release: () => void
 }
 
 /**
  * Begins a transaction.
  *
- * @param options - the database, and what becomes of the changes
+ * @param options - the database, and callbacks for commit and end
  * @returns the transaction
  */
 export function openTransaction (options: TransactionOptions): UpstreamTransaction {
-  const { database, mayKeep, onCommit, onEnd, release } = options
+  const { database, mayCommit, onCommit, onEnd, release } = options
   const changes: Statement[] = []
   let open = true
   database.run({ sql: 'BEGIN' })
@@ -54,7 +54,7 @@
       return answer
     },
     commit: () => {
-      if (changes.length > 0 && !mayKeep()) {
+      if (changes.length > 0 && !mayCommit()) {
         end('ROLLBACK')
         throw new Error('the upstream is read-only: it is no longer the primary')
       }
--- a/src/emulation/standin/upstream.ts
+++ b/src/emulation/standin/upstream.ts
@@ -1,4 +1,4 @@
-/** A stand-in database server: terms, fencing, roles and asynchronous replication. */
+/** A stand-in database server with terms, fencing, roles and asynchronous replication. */
 import { randomUUID } from 'node:crypto'
 import { silentLogger, type Logger } from '../../core/logger/index.ts'
 import type { Answer, Statement } from '../../mysql/types.ts'
@@ -11,7 +11,7 @@
 import { ReplicationLog } from './replication-log.ts'
 import { LEDGER_SCHEMA } from './ledger-schema.ts'
 
-/** Answers whether two upstreams can reach each other. */
+/** Returns whether two upstreams can reach each other. */
 type Reachable = (from: string, to: string) => boolean
 
 /** Options of {@link createUpstream}. */
@@ -19,7 +19,7 @@
   name: string
   /** Time between a change on the primary and its arrival here, in milliseconds. */
   lagMs: number
-  /** SQL run once before the upstream serves. */
+  /** SQL statements to run once at creation. */
   schema: string[]
   /** Finds another upstream of the group. */
   findPeer: (name: string) => Upstream | undefined
@@ -28,21 +28,21 @@
 }
 
 /**
- * A database server of a group. Its state outlives crashes, as a disk would make it.
+ * A database server of a group. Its state survives simulated crashes, as if it were on disk.
  */
 export class Upstream {
   readonly name: string
   readonly log = new ReplicationLog()
   readonly incarnation = randomUUID()
-  /** Whether it wants no new work. */
+  /** Whether the upstream is being drained and wants no new work. */
   leaving = false
-  /** Whether the process is frozen: nothing is applied and nothing answered. */
+  /** Whether the process is paused: it applies no records and answers no statements. */
   paused = false
   /** Whether the process is down. */
   crashed = false
-  /** Statements of clients executed so far, procedures not counted. */
+  /** Number of client statements executed, without procedure calls and transaction control. */
   statementsServed = 0
-  /** Records thrown away because another primary went another way. */
+  /** Number of local records discarded because they diverged from a new primary's log. */
   discardedRecords = 0
 
   private lag: number
@@ -64,11 +64,11 @@
     replaceDatabase: (database) => { this.database = database },
     exclusively: async (work) => await this.exclusively(work),
     onChange: () => this.changes.notify(),
-    onDiscarded: (records) => this.noteDiscarded(records)
+    onDiscarded: (records) => this.recordDiscarded(records)
   })
 
   private readonly access = new ExclusiveAccess()
-  /** Whether a client's transaction is open on the database. */
+  /** Whether a client's transaction is open. */
   private inTransaction = false
 
   constructor (options: UpstreamOptions, database: Database) {
@@ -91,7 +91,7 @@
     this.resume()
   }
 
-  /** What the status procedure shows. */
+  /** Returns the values of the status procedure. */
   status (): UpstreamStatus {
     return {
       term: this.term,
@@ -106,9 +106,9 @@
   }
 
   /**
-   * Fences: from now on this upstream neither takes writes nor follows below a term.
+   * Fences the upstream: it stops accepting writes and rejects primaries of lower terms.
    *
-   * @param term - the term, accepted only above every term taken before
+   * @param term - the term, which must exceed all previously accepted terms
    * @returns whether it was accepted
    */
   fence (term: number): boolean {
@@ -116,13 +116,13 @@
       return false
     }
     this.fencedTerm = term
-    this.stopLeading()
+    this.stepDown()
     this.changes.notify()
     return true
   }
 
   /**
-   * Makes this upstream the primary of a term it has been fenced with.
+   * Promotes this upstream to primary of the term that it was last fenced with.
    *
    * @param term - the term
    * @returns whether it was accepted
@@ -143,8 +143,8 @@
   /**
    * Follows the primary of a term.
    *
-   * @param primary - its name
-   * @param term - its term
+   * @param primary - name of the primary
+   * @param term - term of the primary
    * @returns whether it was accepted
    */
   follow (primary: string, term: number): boolean {
@@ -154,7 +154,7 @@
     if (term === this.term && this.primary === primary) {
       return true
     }
-    this.stopLeading()
+    this.stepDown()
     this.stopFollowing()
     this.term = term
     this.fencedTerm = term
@@ -167,7 +167,7 @@
   }
 
   /**
-   * Runs a statement outside a transaction and logs what it changed.
+   * Runs a statement outside a transaction and appends it to the log if it is a write.
    *
    * @param statement - the statement
    * @returns its answer
@@ -183,7 +183,7 @@
   }
 
   /**
-   * Opens a transaction, which has the database to itself until it ends.
+   * Begins a transaction, which holds exclusive access to the database until it ends.
    *
    * @returns the transaction
    */
@@ -192,7 +192,7 @@
     const { term } = this
     const transaction = openTransaction({
       database: this.database,
-      mayKeep: () => this.role === 'primary' && this.term === term,
+      mayCommit: () => this.role === 'primary' && this.term === term,
       onCommit: (changes) => {
         if (changes.length > 0) {
           this.append(changes)
@@ -207,20 +207,20 @@
   }
 
   /**
-   * Waits for the next change of log, term or role.
+   * Waits for the next change of log, term or role, or for the timeout.
    *
-   * @param timeoutMs - greatest wait, in milliseconds
+   * @param timeoutMs - maximum wait, in milliseconds
    */
   async waitForChange (timeoutMs: number): Promise<void> {
     await this.changes.wait(timeoutMs)
   }
 
-  /** Applies what has arrived; called again when a fault ends. */
+  /** Resumes replication immediately, for example after a fault has ended. */
   resume (): void {
     this.replication.restart()
   }
 
-  /** Frees the database. */
+  /** Stops replication and closes the database. */
   close (): void {
     this.replication.close()
     void this.exclusively(async () => this.database.close())
@@ -232,7 +232,7 @@
     this.followers.forEach((follower) => follower.replication.schedule(follower.lagMs))
   }
 
-  private stopLeading (): void {
+  private stepDown (): void {
     this.role = 'replica'
     if (!this.inTransaction) {
       this.database.setReadOnly(true)
@@ -243,7 +243,7 @@
     this.options.findPeer(this.primary)?.followers.delete(this)
   }
 
-  /** The primary that this upstream follows, as far as it may apply its records now. */
+  /** Returns the followed primary as a replication source, if its records may be applied now. */
   private findSource (): ReplicationSource {
     const source = this.options.findPeer(this.primary)
     if (source === undefined || this.paused || this.crashed || this.term < this.fencedTerm) {
@@ -258,26 +258,26 @@
     return { log: source.log, snapshot: () => source.inTransaction ? undefined : source.database.snapshot() }
   }
 
-  private noteDiscarded (records: number): void {
+  private recordDiscarded (records: number): void {
     this.discardedRecords += records
     this.logger.log('warn', 'standin.tail-discarded', { upstream: this.name, records })
   }
 
   private async acquire (): Promise<() => void> {
     const release = await this.access.acquire()
-    this.lockUnlessLeading()
+    this.setReadOnlyUnlessPrimary()
     return release
   }
 
   private async exclusively<Result> (work: () => Promise<Result>): Promise<Result> {
     return await this.access.during(async () => {
-      this.lockUnlessLeading()
+      this.setReadOnlyUnlessPrimary()
       return await work()
     })
   }
 
-  /** A database whose upstream does not lead is read-only for whoever comes next. */
-  private lockUnlessLeading (): void {
+  /** Makes the database read-only unless this upstream is the primary. */
+  private setReadOnlyUnlessPrimary (): void {
     if (this.role !== 'primary') {
       this.database.setReadOnly(true)
     }
