--- a/src/emulation/load/checks/index.ts
+++ b/src/emulation/load/checks/index.ts
@@ -31,7 +31,7 @@
   const held = new Set(final.records.map(({ request }) => request))
   return events.filter(isDone).flatMap((event) => requestsOf(event))
     .filter((request) => !held.has(request))
-    .map((request) => `${request} was acknowledged and is gone`)
+    .map((request) => `${request} was acknowledged but is missing from the final state`)
 }
 
 function atMostOnce ({ final }: History): string[] {
@@ -47,7 +47,7 @@
   events.forEach((event) => requestsOf(event).forEach((request) => lastOutcome.set(request, event)))
   return [...lastOutcome]
     .filter(([request, { outcome }]) => outcome.type === 'refused' && outcome.verdict === 'not-run' && held.has(request))
-    .map(([request]) => `${request} was refused as not run and ran`)
+    .map(([request]) => `${request} was refused as not run but took effect`)
 }
 
 function readsOwnWrites ({ events }: History): string[] {
@@ -59,7 +59,7 @@
       if (event.operation.type === 'read-own') {
         const seen = new Set(event.operation.seen)
         const lost = [...written].filter((request) => !seen.has(request))
-        missing.push(...lost.map((request) => `${event.session} wrote ${request} and did not see it at ${event.sequence}`))
+        missing.push(...lost.map((request) => `${event.session} wrote ${request} but did not read it at ${event.sequence}`))
       }
     }
     return missing
@@ -74,7 +74,7 @@
       if (operation.type === 'read-own') {
         const seen = new Set(operation.seen)
         const lost = [...seenBefore].filter((request) => !seen.has(request))
-        missing.push(...lost.map((request) => `${name} saw ${request} and did not see it again at ${sequence}`))
+        missing.push(...lost.map((request) => `${name} read ${request} earlier but not at ${sequence}`))
         seen.forEach((request) => seenBefore.add(request))
       }
     }
@@ -86,15 +86,15 @@
   const held = new Set(final.records.map(({ request }) => request))
   return events.flatMap(({ operation }) => operation.type === 'transfer' ? [operation.request] : [])
     .filter((request) => new Set(TRANSFER_HALVES.map((half) => held.has(request + half))).size > 1)
-    .map((request) => `half of transaction ${request} is there`)
+    .map((request) => `transaction ${request} was applied partially`)
 }
 
 function transactionsIsolated ({ events, final, startTotal }: History): string[] {
   const totals = events.filter(isDone)
     .flatMap(({ operation, sequence, session }) => operation.type === 'total' ? [{ ...operation, sequence, session }] : [])
   const wrong = totals.filter(({ total }) => total !== startTotal)
-    .map(({ total, session, sequence }) => `${session} saw a total of ${total} at ${sequence}, not ${startTotal}`)
-  return final.total === startTotal ? wrong : [...wrong, `the total is ${final.total} in the end, not ${startTotal}`]
+    .map(({ total, session, sequence }) => `${session} read a total of ${total} at ${sequence}, expected ${startTotal}`)
+  return final.total === startTotal ? wrong : [...wrong, `the final total is ${final.total}, expected ${startTotal}`]
 }
 
 function wholeAnswers ({ events }: History): string[] {
@@ -103,7 +103,7 @@
       return []
     }
     const { wanted, received, foreign } = operation
-    return [`${session} got ${received} of ${wanted} rows at ${sequence}, ${foreign} of somebody else`]
+    return [`${session} received ${received} of ${wanted} rows at ${sequence}, ${foreign} from another request`]
   })
 }
 
