--- a/test/system/acknowledgement.test.ts
+++ b/test/system/acknowledgement.test.ts
@@ -12,17 +12,17 @@
     return [...deployment.standins.groups.get(GROUP)!.keys()].filter((name) => name !== primary)
   }
 
-  it('acknowledges no write that only a superseded primary has, and discards it when that primary is back', async () => {
+  it('acknowledges no write that only a superseded primary has, and discards the write when that primary rejoins', async () => {
     const old = deployment.primaryOf(GROUP).upstream
     const writer = await deployment.connect(0)
     await purchase(writer, 'ack', 'kept')
     replicaNames().forEach((name) => deployment.standins.cutReplication(name, old.name))
     deployment.keepers.forEach(({ name }) => deployment.network.cut(name, old.name))
     const before = old.log.end.position
-    const doubtful = purchase(writer, 'ack', 'doubtful')
+    const unreplicated = purchase(writer, 'ack', 'doubtful')
     await until(() => old.log.end.position > before)
     await until(() => deployment.primaryOf(GROUP).upstream !== old)
-    await doubtful
+    await unreplicated
     const reader = await deployment.connect(1)
     expect(await readRequests(reader, 'ack', 'some-id')).toEqual(['kept', 'doubtful'])
     deployment.network.mend()
@@ -33,7 +33,7 @@
     expect(await readRequests(reader, 'ack', 'other-id')).toEqual(['kept', 'doubtful'])
   })
 
-  it('promotes the replica that has what was acknowledged, not the one that lags', async () => {
+  it('promotes the replica that has all acknowledged writes, not the one that lags', async () => {
     const [first, second] = replicaNames().map((name) => deployment.upstream(GROUP, name).upstream)
     first!.lagMs = 60_000
     const writer = await deployment.connect(0)
@@ -47,7 +47,7 @@
     expect(await readRequests(await deployment.connect(1), 'furthest', 'id')).toEqual(['f1'])
   })
 
-  it('acknowledges what is declared as confirmed without waiting for replicas', async () => {
+  it('acknowledges a kind declared as confirmed without waiting for replicas', async () => {
     const servers = [...deployment.standins.groups.get(GROUP)!.values()]
     servers.forEach(({ upstream }) => { upstream.lagMs = 60_000 })
     const writer = await deployment.connect(0)
@@ -71,7 +71,7 @@
     await deployment.waitForPrimaries()
   })
 
-  it('fails over a primary that is frozen, and loses nothing when it thaws', async () => {
+  it('fails over from a paused primary, and loses no write when it resumes', async () => {
     const writer = await deployment.connect(0)
     await purchase(writer, 'frozen', 'z1')
     const old = deployment.primaryOf(GROUP).upstream
@@ -83,7 +83,7 @@
     expect(await readRequests(await deployment.connect(1), 'frozen', 'id')).toEqual(['z1', 'z2'])
   })
 
-  it('finishes a promotion whose answer was lost', async () => {
+  it('completes a promotion whose response is lost', async () => {
     deployment.standins.groups.get(GROUP)!.forEach(({ faults }) => faults.loseAnswers.set('worksward_promote', 1))
     const writer = await deployment.connect(0)
     const old = deployment.primaryOf(GROUP)
@@ -94,7 +94,7 @@
     expect(await readRequests(await deployment.connect(1), 'lost-promotion', 'id')).toEqual(['p1'])
   })
 
-  it('does not promote while one failure domain alone cannot reach the primary', async () => {
+  it('does not promote while only one failure domain cannot reach the primary', async () => {
     const primary = deployment.primaryOf(GROUP).upstream
     const { term } = primary.status()
     const [keeper] = deployment.keepers
--- a/test/system/bad-input.test.ts
+++ b/test/system/bad-input.test.ts
@@ -3,7 +3,7 @@
 import { expect } from 'earl'
 import { purchase, readRequests, startTestDeployment, type TestDeployment } from '../fixtures/deployment.ts'
 
-describe('bad input', () => {
+describe('invalid input', () => {
   let deployment: TestDeployment
   before(async () => {
     deployment = await startTestDeployment({}, {
@@ -12,12 +12,12 @@
   })
   after(async () => await deployment.close())
 
-  it('refuses a wrong password and an unknown service', async () => {
+  it('rejects a wrong password and an unknown service', async () => {
     await expect(deployment.connect(0, { password: 'wrong' })).toBeRejectedWith('access denied')
     await expect(deployment.connect(0, { user: 'nobody' })).toBeRejectedWith('access denied')
   })
 
-  it('refuses an unknown kind, a malformed comment and an oversized statement with a reason, and serves on', async () => {
+  it('rejects an unknown kind, a malformed comment and an oversized statement with a reason, and keeps serving', async () => {
     const connection = await deployment.connect(0)
     await expect(connection.query("SELECT 1 /*worksward_kind='nothing'*/")).toBeRejectedWith("no request kind 'nothing'")
     await expect(connection.query('SELECT 1 /*worksward_kind=grid*/')).toBeRejectedWith('cannot be read')
@@ -28,18 +28,18 @@
     expect(await readRequests(connection, 'serves-on')).toEqual(['s1'])
   })
 
-  it('survives garbage on every port, and others are not affected', async () => {
+  it('keeps serving other connections when invalid bytes arrive on any port', async () => {
     const connection = await deployment.connect(0)
     const [proxy] = deployment.proxies
     const ports = [proxy!.callerPort, proxy!.kernel.use('peers').port, proxy!.httpPort]
     for (const port of ports) {
-      await sendGarbage(port)
+      await sendInvalidBytes(port)
       await purchase(connection, 'garbage', `g${port}`)
     }
     expect((await readRequests(connection, 'garbage')).length).toEqual(ports.length)
   })
 
-  it('refuses a peer that does not know the key', async () => {
+  it('rejects a peer with a wrong key', async () => {
     const { createPeerClient } = await import('../../src/peers/peer-client.ts')
     const { createDialer } = await import('../../src/core/wire/dialer.ts')
     const client = createPeerClient({ host: 'stranger', key: 'another-key-0123456789', dialer: createDialer() })
@@ -49,7 +49,7 @@
   })
 })
 
-async function sendGarbage (port: number): Promise<void> {
+async function sendInvalidBytes (port: number): Promise<void> {
   for (const bytes of [Buffer.alloc(5000, 0xff), Buffer.from('GET / nonsense\r\n\r\n'), Buffer.from([3, 0, 0, 9, 1, 2, 3])]) {
     await new Promise<void>((resolve) => {
       const socket = connect(port, '127.0.0.1', () => socket.end(bytes))
--- a/test/system/limits.test.ts
+++ b/test/system/limits.test.ts
@@ -15,30 +15,30 @@
   })
   after(async () => await deployment.close())
 
-  it('refuses what it cannot serve as not run, with the time to come back, and keeps to the connections', async () => {
-    let mostConnections = 0
+  it('rejects excess reads as not run with a retry delay, and respects the connection limit', async () => {
+    let peakConnections = 0
     const servers = [...deployment.standins.groups.get(GROUP)!.values()]
-    const watching = setInterval(() => {
-      mostConnections = Math.max(mostConnections, ...servers.map((server) => server.connections()))
+    const sampling = setInterval(() => {
+      peakConnections = Math.max(peakConnections, ...servers.map((server) => server.connections()))
     }, 2)
     const connections = await Promise.all(Array.from({ length: 150 }, async (_value, index) =>
       await deployment.connect(index % 3)))
     const reads = await Promise.allSettled(connections.map(async (connection) =>
       await connection.query("SELECT 1 /*worksward_kind='strict'*/")))
-    clearInterval(watching)
-    const refusals = reads.filter((read) => read.status === 'rejected').map((read) => String(read.reason))
-    expect(refusals.length > 0).toEqual(true)
-    refusals.forEach((refusal) => expect(refusal).toMatchRegex(/verdict: not-run/))
-    expect(refusals.some((refusal) => /retry after \d+ ms/.test(refusal))).toEqual(true)
-    expect(mostConnections <= 25).toEqual(true)
+    clearInterval(sampling)
+    const rejections = reads.filter((read) => read.status === 'rejected').map((read) => String(read.reason))
+    expect(rejections.length > 0).toEqual(true)
+    rejections.forEach((rejection) => expect(rejection).toMatchRegex(/verdict: not-run/))
+    expect(rejections.some((rejection) => /retry after \d+ ms/.test(rejection))).toEqual(true)
+    expect(peakConnections <= 25).toEqual(true)
     expect(servers.every((server) => server.refused() === 0)).toEqual(true)
   })
 
-  it('serves purchases while reads crowd the primary', async () => {
+  it('serves purchases while reads overload the primary', async () => {
     const readers = await Promise.all(Array.from({ length: 60 }, async (_value, index) =>
       await deployment.connect(index % 3)))
     const state = { stopped: false }
-    const crowding = readers.map(async (reader) => {
+    const overload = readers.map(async (reader) => {
       while (!state.stopped) {
         await reader.query("SELECT 1 /*worksward_kind='strict'*/").catch(() => {})
       }
@@ -48,6 +48,6 @@
       await purchase(writer, 'crowded', `c${index}`)
     }
     state.stopped = true
-    await Promise.all(crowding)
+    await Promise.all(overload)
   })
 })
--- a/test/system/main-path.test.ts
+++ b/test/system/main-path.test.ts
@@ -2,12 +2,12 @@
 import { expect } from 'earl'
 import { GROUP, purchase, readRequests, readToken, startTestDeployment, type TestDeployment } from '../fixtures/deployment.ts'
 
-describe('the whole path', () => {
+describe('end-to-end requests', () => {
   let deployment: TestDeployment
   before(async () => { deployment = await startTestDeployment() })
   after(async () => await deployment.close())
 
-  it('shows a session its own write on every proxy, by token', async () => {
+  it('lets a session read its own write through every proxy, by token', async () => {
     const writer = await deployment.connect(0)
     await purchase(writer, 'token-session', 'p1')
     const token = await readToken(writer)
@@ -17,7 +17,7 @@
     }
   })
 
-  it('shows a session its own write on every proxy, by id alone', async () => {
+  it('lets a session read its own write through every proxy, by session id', async () => {
     const writer = await deployment.connect(1)
     await purchase(writer, 'id-session', 'p2')
     for (const proxy of [0, 1, 2]) {
@@ -26,7 +26,7 @@
     }
   })
 
-  it('runs a request once when it is sent again under its key, through another proxy', async () => {
+  it('runs a request once when it is retried with the same key through another proxy', async () => {
     const first = await deployment.connect(0)
     const second = await deployment.connect(2)
     await purchase(first, 'repeat', 'p3')
@@ -34,7 +34,7 @@
     expect(await readRequests(second, 'repeat')).toEqual(['p3'])
   })
 
-  it('refuses a key that was used for another request, and runs nothing', async () => {
+  it('rejects a key that was used for another request, and runs nothing', async () => {
     const connection = await deployment.connect(0)
     await purchase(connection, 'reused', 'p4')
     const other = "INSERT INTO records (session, request, amount) VALUES ('reused', 'other', 1) " +
@@ -43,14 +43,14 @@
     expect(await readRequests(connection, 'reused')).toEqual(['p4'])
   })
 
-  it('serves prepared statements with values of every kind', async () => {
+  it('runs prepared statements with values of each type', async () => {
     const connection = await deployment.connect(1)
     const sql = "SELECT ? AS text, ? AS number, ? AS missing, 2.5 AS fraction /*worksward_kind='grid'*/"
     const [rows] = await connection.execute(sql, ["it's \\ 100%", 42, null])
     expect(rows as unknown).toEqual([{ text: "it's \\ 100%", number: 42, missing: null, fraction: 2.5 }])
   })
 
-  it('commits a transaction whole and rolls one back whole', async () => {
+  it('commits and rolls back transactions atomically', async () => {
     const connection = await deployment.connect(2)
     for (const end of ['COMMIT', 'ROLLBACK']) {
       await connection.query('BEGIN')
@@ -61,7 +61,7 @@
     expect(await readRequests(connection, 'tx')).toEqual(['COMMIT-1', 'COMMIT-2'])
   })
 
-  it('promotes another upstream when the primary crashes, and keeps what was acknowledged', async () => {
+  it('promotes another upstream when the primary crashes, and keeps acknowledged writes', async () => {
     const connection = await deployment.connect(0)
     await purchase(connection, 'failover', 'before')
     const old = deployment.primaryOf(GROUP)
--- a/test/system/processes.test.ts
+++ b/test/system/processes.test.ts
@@ -31,39 +31,39 @@
     return entries.sort(([, left], [, right]) => right.term - left.term)[0]![0]
   }
 
-  it('fails over while the first keeper of the group is frozen, and the keeper does no harm when it thaws', async () => {
+  it('fails over while the first keeper is stopped, and does not lose writes or lower the term when the keeper resumes', async () => {
     const caller = callerOn(0)
     await insert(caller, 'frozen-keeper', 'k1')
-    const frozen = deployment.keepers.slice(0, 1)
-    frozen.forEach((keeper) => keeper.signal('SIGSTOP'))
+    const stoppedKeepers = deployment.keepers.slice(0, 1)
+    stoppedKeepers.forEach((keeper) => keeper.signal('SIGSTOP'))
     const old = await primaryName()
     await deployment.fault({ type: 'crash', group: GROUP, upstream: old })
     await insert(caller, 'frozen-keeper', 'k2')
     await deployment.fault({ type: 'restart', group: GROUP, upstream: old })
     const { term } = (await deployment.upstreams(GROUP))[await primaryName()]!
-    frozen.forEach((keeper) => keeper.signal('SIGCONT'))
+    stoppedKeepers.forEach((keeper) => keeper.signal('SIGCONT'))
     await insert(caller, 'frozen-keeper', 'k3')
     expect((await deployment.upstreams(GROUP))[await primaryName()]!.term >= term).toEqual(true)
     expect(await read(caller, 'frozen-keeper')).toEqual(['k1', 'k2', 'k3'])
   })
 
-  it('goes on when a proxy is killed, and its transaction is rolled back', async () => {
-    const victim = callerOn(1)
-    await victim.query('BEGIN')
-    await victim.query("INSERT INTO records (session, request, amount) VALUES ('killed', 'v1', 0)")
+  it('keeps serving when a proxy is killed, and rolls back its transaction', async () => {
+    const interrupted = callerOn(1)
+    await interrupted.query('BEGIN')
+    await interrupted.query("INSERT INTO records (session, request, amount) VALUES ('killed', 'v1', 0)")
     deployment.proxies[1]!.signal('SIGKILL')
-    await expect(victim.query('COMMIT')).toBeRejected()
+    await expect(interrupted.query('COMMIT')).toBeRejected()
     const caller = callerOn(0)
     await insert(caller, 'killed', 'v2')
     expect(await read(callerOn(2), 'killed')).toEqual(['v2'])
   })
 
-  it('dumps its state on a signal and at its endpoint', async () => {
+  it('dumps its state over HTTP', async () => {
     const state = await deployment.dump(deployment.proxies[0]!)
     expect(Object.keys(state).includes('routing')).toEqual(true)
   })
 
-  it('stops as planned without cutting a request in flight', async () => {
+  it('finishes requests in flight on a planned stop', async () => {
     await deployment.fault({ type: 'lag', group: GROUP, upstream: `${GROUP}-1`, lagMs: 150 })
     await deployment.fault({ type: 'lag', group: GROUP, upstream: `${GROUP}-2`, lagMs: 150 })
     await deployment.fault({ type: 'lag', group: GROUP, upstream: `${GROUP}-3`, lagMs: 150 })
--- a/test/system/sessions.test.ts
+++ b/test/system/sessions.test.ts
@@ -7,15 +7,15 @@
   before(async () => { deployment = await startTestDeployment() })
   after(async () => await deployment.close())
 
-  /** Lets the replicas of the group lag by a time. */
-  const lag = (lagMs: number): void => {
+  /** Sets the replication lag of every upstream of the group. */
+  const setLag = (lagMs: number): void => {
     deployment.standins.groups.get(GROUP)!.forEach(({ upstream }) => { upstream.lagMs = lagMs })
   }
 
-  it('keeps a session from going back in time when its next proxy prefers a replica that lags', async () => {
+  it('keeps reads of a session monotonic when the next proxy prefers a lagging replica', async () => {
     const servers = [...deployment.standins.groups.get(GROUP)!.values()]
-    const [behind] = servers.filter((server) => server !== deployment.primaryOf(GROUP))
-    behind!.upstream.lagMs = 400
+    const [lagging] = servers.filter((server) => server !== deployment.primaryOf(GROUP))
+    lagging!.upstream.lagMs = 400
     const writer = await deployment.connect(0)
     await purchase(writer, 'lagging', 'l1')
     const token = await readToken(writer)
@@ -24,10 +24,10 @@
       expect(await readRequests(reader, 'lagging', token)).toEqual(['l1'])
       expect(await readRequests(reader, 'lagging', `id-${turn}`)).toEqual(['l1'])
     }
-    lag(5)
+    setLag(5)
   })
 
-  it('carries a session by token through a failover', async () => {
+  it('keeps a session consistent by token across a failover', async () => {
     const writer = await deployment.connect(0)
     await purchase(writer, 'through', 'w1')
     const token = await readToken(writer)
@@ -41,7 +41,7 @@
     await deployment.waitForPrimaries()
   })
 
-  it('does not read from a superseded primary that still answers', async () => {
+  it('does not read from a superseded primary that still responds', async () => {
     const old = deployment.primaryOf(GROUP).upstream
     const others = [...deployment.standins.groups.get(GROUP)!.keys()].filter((name) => name !== old.name)
     deployment.keepers.forEach(({ name }) => deployment.network.cut(name, old.name))
@@ -59,7 +59,7 @@
     await deployment.waitForPrimaries()
   })
 
-  it('refuses a token that was changed', async () => {
+  it('rejects a modified token', async () => {
     const connection = await deployment.connect(0)
     const token = await readToken(connection)
     const changed = token.slice(0, -4) + (token.endsWith('AAAA') ? 'BBBB' : 'AAAA')
--- a/test/system/transactions.test.ts
+++ b/test/system/transactions.test.ts
@@ -12,7 +12,7 @@
     await connection.query(`INSERT INTO records (session, request, amount) VALUES ('${session}', '${request}', 0)`)
   }
 
-  it('keeps the statements of two callers apart', async () => {
+  it('isolates the statements of two callers', async () => {
     const [first, second] = await Promise.all([0, 1].map(async (proxy) => await deployment.connect(proxy)))
     await first!.query('BEGIN')
     await insert(first!, 'apart', 'first')
@@ -22,7 +22,7 @@
     expect(await readRequests(second!, 'apart')).toEqual(['second'])
   })
 
-  it('rolls back when the caller goes in the middle', async () => {
+  it('rolls back when the caller disconnects during a transaction', async () => {
     const connection = await deployment.connect(0)
     await connection.query('BEGIN')
     await insert(connection, 'gone-caller', 'g1')
@@ -32,7 +32,7 @@
       [...kernel.use('routing').homes().values()].every((home) => home.activeCount === 0)))
   })
 
-  it('says that the transaction was rolled back when the primary goes in the middle', async () => {
+  it('reports a rollback when the primary crashes during a transaction', async () => {
     const connection = await deployment.connect(0)
     await connection.query('BEGIN')
     await insert(connection, 'gone-primary', 'g1')
@@ -49,9 +49,9 @@
     expect(await readRequests(connection, 'gone-primary', 'id')).toEqual(['g3'])
   })
 
-  it('begins on the new primary when its home had not heard of the change, and says so when it is too late', async () => {
+  it('begins on the new primary when its home has not seen the change, and rejects a transaction already open on the old one', async () => {
     const connections = await Promise.all([0, 1, 2].map(async (proxy) => await deployment.connect(proxy)))
-    const change = async (): Promise<void> => {
+    const changePrimary = async (): Promise<void> => {
       const servers = [...deployment.standins.groups.get(GROUP)!.values()]
       const old = deployment.primaryOf(GROUP).upstream
       const term = old.status().term + 1
@@ -66,19 +66,19 @@
     await Promise.all(connections.map(async (connection) => await connection.query('BEGIN')))
     await insert(connections[2]!, 'moved', 'too-late')
     await connections[2]!.query('SELECT 1')
-    await change()
+    await changePrimary()
     await insert(connections[0]!, 'moved', 'in-time')
     await connections[0]!.query('COMMIT')
-    const goOn = async (): Promise<void> => {
+    const continueTransaction = async (): Promise<void> => {
       await insert(connections[2]!, 'moved', 'too-late')
       await connections[2]!.query('COMMIT')
     }
-    await expect(goOn()).toBeRejectedWith('[verdict: not-run]')
+    await expect(continueTransaction()).toBeRejectedWith('[verdict: not-run]')
     expect(await readRequests(connections[1]!, 'moved', 'id')).toEqual(['in-time'])
     await deployment.waitForPrimaries()
   })
 
-  it('settles a COMMIT whose answer is lost', async () => {
+  it('resolves the outcome of a COMMIT whose response is lost', async () => {
     const connection = await deployment.connect(2)
     await connection.query('BEGIN')
     await insert(connection, 'lost-commit', 'l1')
@@ -88,7 +88,7 @@
     expect(await readRequests(connection, 'lost-commit')).toEqual(['l1', 'l2'])
   })
 
-  it('settles a COMMIT whose home dies within it', async () => {
+  it('resolves the outcome of a COMMIT whose home is killed during the commit', async () => {
     const home = deployment.proxies[0]!.kernel.use('routing').homesOf(GROUP)[0]!.host
     const domains = deployment.proxies.filter(({ name }) => name !== home)
     const extra = await deployment.addProxy('proxy-extra', domains[0]!.failureDomain)
--- a/test/system/two-at-once.test.ts
+++ b/test/system/two-at-once.test.ts
@@ -5,12 +5,12 @@
 import { FAULT_NAMES } from '../../src/emulation/load/faults.ts'
 import { GROUP, purchase, readRequests, startTestDeployment, until, type TestDeployment } from '../fixtures/deployment.ts'
 
-describe('two failures at once', () => {
+describe('two concurrent failures', () => {
   let deployment: TestDeployment
   before(async () => { deployment = await startTestDeployment() })
   after(async () => await deployment.close())
 
-  it('fails over a primary that is cut off while the platform is down', async () => {
+  it('fails over from a partitioned primary while the platform is down', async () => {
     deployment.standins.platform.faults.outage = true
     const old = deployment.primaryOf(GROUP).upstream
     deployment.network.isolate(old.name)
@@ -26,16 +26,16 @@
     expect(await readRequests(await deployment.connect(1), 'cut-and-outage', 'id')).toEqual(['c1'])
   })
 
-  it('waits for a majority when a second upstream freezes during the promotion, and then goes on', async () => {
+  it('waits for a majority when a second upstream pauses during the promotion, then completes it', async () => {
     const old = deployment.primaryOf(GROUP)
-    const [frozen] = [...deployment.standins.groups.get(GROUP)!.values()].filter((server) => server !== old)
-    frozen!.upstream.paused = true
+    const [paused] = [...deployment.standins.groups.get(GROUP)!.values()].filter((server) => server !== old)
+    paused!.upstream.paused = true
     await old.crash()
     const connection = await deployment.connect(2)
     await expect(purchase(connection, 'minority', 'm1')).toBeRejectedWith('[verdict: not-run]')
     expect(deployment.primaryOf(GROUP)).toEqual(old)
-    frozen!.upstream.paused = false
-    frozen!.upstream.resume()
+    paused!.upstream.paused = false
+    paused!.upstream.resume()
     await until(() => deployment.primaryOf(GROUP) !== old)
     await purchase(connection, 'minority', 'm2')
     expect(await readRequests(connection, 'minority')).toEqual(['m2'])
@@ -43,7 +43,7 @@
     await deployment.waitForPrimaries()
   })
 
-  it('settles a commit whose answer is lost just before the primary crashes', async () => {
+  it('resolves a commit whose response is lost just before the primary crashes', async () => {
     const primary = deployment.primaryOf(GROUP)
     primary.faults.loseAnswers.set('worksward_commit', 1)
     const before = primary.upstream.log.end.position
@@ -57,7 +57,7 @@
     await deployment.waitForPrimaries()
   })
 
-  it('forgets old request keys, and no others', async () => {
+  it('removes only expired request keys from the ledger', async () => {
     const connection = await deployment.connect(0)
     await purchase(connection, 'sweep', 'kept')
     const primary = deployment.primaryOf(GROUP).upstream
@@ -72,7 +72,7 @@
     expect(await readRequests(connection, 'sweep')).toEqual(['kept'])
   })
 
-  it('keeps every promise under generated pairs of faults', async () => {
+  it('violates no invariant under generated pairs of faults', async () => {
     const fault = fc.record({
       name: fc.constantFrom(...FAULT_NAMES),
       atMs: fc.integer({ min: 100, max: 700 }),
