--- a/test/frozen/agreements.test.ts
+++ b/test/frozen/agreements.test.ts
@@ -19,23 +19,23 @@
 
 const namesOf = (hosts: KnownHost[]): string[] => hosts.map(({ name }) => name)
 
-/** What hosts of several releases compute without telling each other; different results cost time and calls. */
-describe('hosts agree as ever', () => {
+/** Placement that each host computes on its own; results must be equal across releases in a mixed deployment. */
+describe('placement is compatible across releases', () => {
   const sizes = [1, 3, 9, 71]
 
-  it('on the homes of upstreams', () => {
+  it('for the homes of upstreams', () => {
     expectGolden('agreement-homes', sizes.flatMap((size) => [['i-1', 3, 30], ['i-2', 8, 400], ['', 1, 1]].map((placed) => {
       const [upstream, slots, cap] = placed as [string, number, number]
       return { size, placed, homes: namesOf(homesOf({ upstream, slots, failureDomain: 'y' }, hostsOf(size), cap)) }
     })))
   })
 
-  it('on the order in which they keep limits', () => {
+  it('for the hosts that hold limits, in order', () => {
     expectGolden('agreement-limits', sizes.flatMap((size) => ['red', 'blue'].map((organisation) =>
       ({ size, organisation, order: namesOf(orderByScore(organisation, hostsOf(size))) }))))
   })
 
-  it('on those that read the store for others', () => {
+  it('for the hosts that read the store for others', () => {
     expectGolden('agreement-readers', sizes.map((size) => {
       const hosts = hostsOf(size)
       const asked = hosts.slice(0, 9).map(({ name }) => [name, orderFor(name, hosts, readersOf(hosts))[0]?.name])
--- a/test/frozen/exchange.test.ts
+++ b/test/frozen/exchange.test.ts
@@ -14,15 +14,15 @@
   { database: 'own', group: 'g', freshness: { type: 'session', maximumAgeMs: 2500 }, timeoutMs: 800 }
 ]
 const ORGANISATIONS: FakeOrganisation[] = [{ name: 'red', keys: ['red-1'], limit: { perSecond: 20, burst: 5 } }]
-/** Time until hosts that went silent are given up and forgotten, in milliseconds. */
+/** Time until unresponsive hosts are removed from the registry, in milliseconds. */
 const FORGOTTEN_MS = 30_000
 
-/** Time after which everything has been answered, in milliseconds. */
+/** Time after which every request has been answered, in milliseconds. */
 const LATE_MS = 10_000
 
-/** What hosts have sent to each other and written to the store. */
+/** Messages between hosts and rows written to the store. */
 interface Seen {
-  /** Shapes of questions and answers, by type. */
+  /** Shapes of requests and responses, by type. */
   shapes: Map<string, Set<string>>
   fields: Set<string>
   rows: Set<string>
@@ -32,7 +32,7 @@
   shapes.set(name, (shapes.get(name) ?? new Set()).add(shape))
 }
 
-/** Takes note of all messages and of all rows of the registry. */
+/** Records all messages between hosts and all rows of the registry. */
 function watch (world: World): Seen {
   const seen: Seen = { shapes: new Map(), fields: new Set(), rows: new Set() }
   const note = (name: string, value: unknown): void => {
@@ -60,7 +60,7 @@
   return seen
 }
 
-/** Replaces what differs from run to run: identities of processes and successions, times, and which host it is. */
+/** Replaces values that vary between runs: host names, ports, UUIDs and times. */
 function maskRow (text: string): string {
   return text
     .replace(/\bh[1-9]\b/g, 'HOST')
@@ -69,12 +69,12 @@
     .replace(/"(expiresMs|retiredUntilMs)":-?[0-9.]+/g, '"$1":TIME')
 }
 
-describe('entry processes in all kinds of trouble', () => {
+describe('entry processes under faults', () => {
   let restoreRandom = (): void => {}
   beforeEach(() => { restoreRandom = seedRandom(24) })
   afterEach(() => restoreRandom())
   const suite = setUpWorld(HOSTS, ROUTES)
-  /** Lets time pass, and more where something takes longer than it should: what was sent is compared all the same. */
+  /** Advances the clock, and further if the operation is still pending. */
   const settle = async (pending: Promise<unknown>, ms: number): Promise<void> => {
     let isDone = false
     void pending.finally(() => { isDone = true })
@@ -136,7 +136,7 @@
     return seen
   }
 
-  it('send each other messages of the same shapes, and write the same rows', async () => {
+  it('keep the shapes of their messages and the rows they write', async () => {
     const { shapes, fields, rows } = await play()
     const sorted = Object.fromEntries([...shapes].sort().map(([name, some]) => [name, [...some].sort()]))
     expectGolden('exchange-fields', [...fields].sort())
--- a/test/frozen/frame-socket.ts
+++ b/test/frozen/frame-socket.ts
@@ -1,22 +1,22 @@
-/** A socket without a network, for frames. */
+/** In-memory socket for encoding and decoding frames. */
 import { Duplex } from 'node:stream'
 import type { Socket } from 'node:net'
 import { attachFrames, type FrameStream } from '../../src/core/wire/frames.ts'
 
-/** Frames on a socket without a network. */
+/** Frames on an in-memory socket. */
 export interface FrameSocket {
   frames: FrameStream
-  /** What was written, in hexadecimal. */
+  /** Written bytes, in hexadecimal. */
   written: () => string
-  /** Values that were read. */
+  /** Decoded values. */
   read: unknown[]
-  /** Lets bytes come in. */
+  /** Delivers bytes to the reader. */
   arrive: (hex: string) => void
   socket: Duplex
 }
 
 /**
- * Attaches frames to a socket without a network.
+ * Attaches framing to an in-memory socket.
  *
  * @returns the socket
  */
@@ -45,7 +45,7 @@
  * Encodes a value as one frame.
  *
  * @param value - the value
- * @returns the frame in hexadecimal, its length included
+ * @returns the frame in hexadecimal, with its length prefix
  */
 export async function encodeFrame (value: unknown): Promise<string> {
   const { frames, written } = createFrameSocket()
@@ -57,7 +57,7 @@
 /**
  * Decodes one frame.
  *
- * @param hex - the frame in hexadecimal, its length included
+ * @param hex - the frame in hexadecimal, with its length prefix
  * @returns the value
  */
 export function decodeFrame (hex: string): unknown {
--- a/test/frozen/frames.test.ts
+++ b/test/frozen/frames.test.ts
@@ -4,7 +4,7 @@
 import { expectGolden } from './golden.ts'
 import { FAILURES, HANDSHAKE, MESSAGES } from './message-examples.ts'
 
-/** Names that stand as numbers in frames, in the order of their numbers. */
+/** Field names that frames encode as numbers, in the order of their numbers. */
 const NAMES = [
   'id', 'type', 'body', 'failure', 'verdict', 'entry', 'details', 'leftMs', 'inTimeMs', 'values', 'step', 'upstream',
   'priority', 'epoch', 'after', 'begin', 'transaction', 'access', 'text', 'prepared', 'shape', 'parameters', 'begun',
@@ -12,7 +12,7 @@
   'costMs', 'ranMs', 'version', 'digest', 'ageMs', 'group', 'proofs'
 ]
 
-/** A value as JSON shows it, with bytes and missing values in words. */
+/** Converts a value to JSON, with bytes and undefined as text. */
 function show (value: unknown): unknown {
   if (value === undefined) {
     return 'undefined'
@@ -33,21 +33,21 @@
   return frames.map((frame) => ({ frame, value: show(decodeFrame(frame)) }))
 }
 
-describe('frames between entry processes keep their bytes', () => {
+describe('frame encoding between entry processes is unchanged', () => {
   for (const [type, { questions, answers }] of Object.entries(MESSAGES)) {
-    it(`of ${type}`, async () => {
+    it(`for ${type}`, async () => {
       const asked = questions.map((body, index) => ({ id: index + 1, type, body }))
       const answered = answers.map((body, index) => ({ body, id: index + 1 }))
       expectGolden(`frames-${type}`, { questions: await goldenOf(asked), answers: await goldenOf(answered) })
     })
   }
 
-  it('of failures and of the handshake', async () => {
+  it('for failures and the handshake', async () => {
     const failures = FAILURES.map((failure, index) => ({ failure, id: 1000 * index + 23 }))
     expectGolden('frames-handshake', { failures: await goldenOf(failures), handshake: await goldenOf(HANDSHAKE) })
   })
 
-  it('of every name that has a number', async () => {
+  it('for every field name that has a number', async () => {
     const frames = await Promise.all(NAMES.map(async (name) => await encodeFrame({ [name]: 0 })))
     const expected = NAMES.map((_name, index) => {
       const number = index + 1
@@ -58,7 +58,7 @@
     expect(frames.map(decodeFrame)).toEqual(NAMES.map((name) => ({ [name]: 0 })))
   })
 
-  it('of values of every kind', async () => {
+  it('for values of every type', async () => {
     expectGolden('frames-values', await goldenOf([
       0, 23, 24, 255, 65_536, 4_294_967_296, -1, -300, 1.5, -0.1, 1e300, true, false, null, '', 'ä€𝄞', 'x'.repeat(40),
       [], [1, [2]], {}, { unnamed: 1, id: 2 }, { rows: [{ key: 'k', value: 'v', version: 1 }] }, undefined
@@ -66,8 +66,8 @@
   })
 })
 
-describe('frames that come in', () => {
-  it('may come in pieces, and several at a time', async () => {
+describe('frame decoder', () => {
+  it('accepts split and concatenated frames', async () => {
     const hex = await encodeFrame({ id: 1, type: 'neighbour', body: {} })
     const { frames, arrive, read } = createFrameSocket()
     frames.trust()
@@ -78,7 +78,7 @@
     expect(read).toEqual(Array.from({ length: 3 }, () => ({ id: 1, type: 'neighbour', body: {} })))
   })
 
-  it('may have 1024 bytes before the handshake, and 64 MiB after it', () => {
+  it('limits frames to 1024 bytes before the handshake and 64 MiB after it', () => {
     const isRefused = (lengthHex: string, trusted: boolean): boolean => {
       const { frames, arrive, socket } = createFrameSocket()
       if (trusted) {
--- a/test/frozen/golden.ts
+++ b/test/frozen/golden.ts
@@ -1,9 +1,9 @@
-/** Golden files: what crosses a process boundary, as it has always been. */
+/** Golden files of the data that crosses process boundaries. */
 import { existsSync, readFileSync, writeFileSync } from 'node:fs'
 import { expect } from 'earl'
 
 const FOLDER = new URL('./golden/', import.meta.url).pathname
-/** Set to write golden files that don't exist yet; those that exist are never overwritten. */
+/** Environment variable that enables writing missing golden files; existing files are never overwritten. */
 const WRITE_VARIABLE = 'FROZEN_WRITE'
 
 function format (value: unknown): string {
@@ -21,19 +21,19 @@
 /**
  * Reads a golden file.
  *
- * @param name - name of the file, without its ending
- * @param value - what to write when the file is to be made
- * @returns its content
+ * @param name - file name without extension
+ * @param value - content of the file if it is created
+ * @returns the parsed content
  */
 export function readGolden (name: string, value: unknown): unknown {
   return JSON.parse(readText(name, value))
 }
 
 /**
- * Compares a value with a golden file, as JSON text, so that the order of fields counts too.
+ * Compares a value with a golden file as JSON text, including the order of fields.
  *
- * @param name - name of the file, without its ending
- * @param value - the value; must be what JSON can carry
+ * @param name - file name without extension
+ * @param value - the value; must be representable in JSON
  */
 export function expectGolden (name: string, value: unknown): void {
   expect(format(value).split('\n')).toEqual(readText(name, value).split('\n'))
--- a/test/frozen/handshake.test.ts
+++ b/test/frozen/handshake.test.ts
@@ -16,7 +16,7 @@
 const NONCE_HEX = '000102030405060708090a0b0c0d0e0f'
 const HEADER_BYTES = 4
 
-/** Reads whole frames from a socket, as hexadecimal without their length. */
+/** Reads complete frames from a socket, in hexadecimal without the length prefix. */
 function createFrameReader (socket: Socket): () => Promise<string> {
   let data = Buffer.alloc(0)
   const closed = once(socket, 'close').then(() => { throw new Error('the link was closed') })
@@ -42,7 +42,7 @@
 
 const textHex = (text: string): string => Buffer.from(text).toString('hex')
 
-/** The proof as the peers of all releases make it. */
+/** Computes the key proof that all releases send. */
 function proofHex (role: string, host: string, nonceHex: string): string {
   return createHmac('sha256', KEY).update(`${role}\0${host}\0`).update(Buffer.from(nonceHex, 'hex')).digest('hex')
 }
@@ -57,7 +57,7 @@
 const welcomeHex = (proof: string): string =>
   `b900030267${textHex('welcome')}64${textHex('host')}62${textHex('h2')}65${textHex('proof')}5820${proof}`
 
-describe('the handshake between entry processes keeps its bytes', () => {
+describe('handshake encoding between entry processes is unchanged', () => {
   const ends: Array<() => Promise<void> | void> = []
   afterEach(async () => {
     for (const end of ends.splice(0).reverse()) {
@@ -65,7 +65,7 @@
     }
   })
 
-  it('in its proofs', () => {
+  it('in proofs', () => {
     const nonce = Buffer.from(NONCE_HEX, 'hex')
     expect(proveKey(KEY, 'client', nonce, 'front-1').toString('hex'))
       .toEqual('1ba98362d3f300a6f648e5051f19ad8ac42eb4d1d0a5cce5d63afe2e33eb901d')
@@ -73,7 +73,7 @@
       .toEqual('97e40cb80a69be9f1d773b7597f5922ddb706d1e5e7d066435b7d7da5ebefd55')
   })
 
-  it('on the answering side, up to the answers to requests', async () => {
+  it('on the accepting side, including responses', async () => {
     const refuse: PeerHandler = async () => {
       throw new RequestError('not-run', 'TransactionLost', { reason: 'its home has ended it' })
     }
@@ -94,7 +94,7 @@
     expect(await next()).toEqual('b9000204b90003056c6d61792d686176652d72756e0674556e737570706f7274656453746174656d656e7407b90001181a746e6f2068616e646c657220666f72206f746865720103')
   })
 
-  it('on the asking side, up to its requests', async () => {
+  it('on the connecting side, including requests', async () => {
     const server = createServer().listen(0, ADDRESS)
     await once(server, 'listening')
     const client = createPeerClient({ host: 'h1', key: KEY, dialer: createDialer(), connectTimeoutMs: 5000 })
--- a/test/frozen/message-examples.ts
+++ b/test/frozen/message-examples.ts
@@ -1,4 +1,4 @@
-/** Messages between entry processes: for each type, questions and answers with all fields and with the fewest. */
+/** Example messages between entry processes: requests and responses with all and with the fewest fields. */
 const POSITION = { term: 3, position: 1207 }
 const ROW = { key: 'host/front-1', value: '{"address":"10.1.0.8"}', version: 41 }
 const ANSWER = {
@@ -26,19 +26,19 @@
   ...REPORT
 }
 
-/** Examples of one type of message. */
+/** Examples of one message type. */
 export interface MessageExamples {
-  /** Questions that are accepted. */
+  /** Valid requests. */
   questions: unknown[]
-  /** Questions that are refused. */
+  /** Invalid requests. */
   refused: unknown[]
   answers: unknown[]
 }
 
-/** Values that no handler with a schema takes. */
+/** Values that every handler with a schema rejects. */
 const NOTHING = [undefined, null, 'text', 1, []]
 
-/** Examples by type. */
+/** Examples by message type. */
 export const MESSAGES: Record<string, MessageExamples> = {
   'home-statement': {
     questions: [
@@ -134,7 +134,7 @@
   }
 }
 
-/** Failures that take the place of an answer. */
+/** Failures sent instead of a response. */
 export const FAILURES: unknown[] = [
   { verdict: 'not-run', entry: 'NoUpstream', details: { group: 'g', reason: 'no right', retryAfterMs: 100 } },
   { verdict: 'may-have-run', entry: 'PeerUnavailable', details: { peer: '10.1.0.8:7440', reason: 'no answer in time' } },
--- a/test/frozen/messages.test.ts
+++ b/test/frozen/messages.test.ts
@@ -3,13 +3,13 @@
 import { setUpWorld } from '../fixtures/fleet/set-up.ts'
 import { MESSAGES } from './message-examples.ts'
 
-/** Types of the messages between entry processes. */
+/** Types of messages between entry processes. */
 const TYPES = [
   'close-group', 'extend', 'freshness-proofs', 'home-alive', 'home-rollback', 'home-statement', 'home-step', 'limit-take',
   'neighbour', 'reach', 'registry-nudge', 'registry-snapshot', 'table-changes', 'table-news'
 ]
 
-/** How a handler took a message: by its schema, or not. */
+/** Whether the schema of a handler accepted a message. */
 type Taking = 'accepted' | 'refused'
 
 describe('an entry process', () => {
@@ -21,13 +21,13 @@
     return await suite.settle(taking, 4000)
   }
 
-  it('answers these types of messages and no others', () => {
+  it('handles exactly these message types', () => {
     expect([...suite.world.hosts.get('h1')!.handlers.keys()].sort()).toEqual(TYPES)
     expect(Object.keys(MESSAGES).sort()).toEqual(TYPES)
   })
 
   for (const [type, { questions, refused }] of Object.entries(MESSAGES)) {
-    it(`takes questions of ${type}, and refuses others`, async () => {
+    it(`accepts valid requests of type ${type} and rejects invalid ones`, async () => {
       const takings: Taking[] = []
       for (const body of [...questions, ...refused]) {
         takings.push(await takingOf(type, body))
--- a/test/frozen/mysql-deployment.test.ts
+++ b/test/frozen/mysql-deployment.test.ts
@@ -1,4 +1,4 @@
-/** What running proxies and keepers say: types and fields of their messages, paths, tables and metrics. */
+/** Interfaces of running proxies and keepers: message types and fields, HTTP paths, tables and metrics. */
 import { randomUUID } from 'node:crypto'
 import { after, before, describe, it } from 'node:test'
 import { expect } from 'earl'
@@ -11,7 +11,7 @@
 const FILE = 'deployment'
 const TIMEOUT_MS = 5000
 
-/** Fields of each message in the order in which they are sent; several where senders differ. */
+/** Fields of each message in the order sent; several entries where senders differ. */
 const MESSAGES: Record<string, string[]> = {
   heartbeat: ['members,digest,revision'],
   'heartbeat reply': ['members,digest,revision'],
@@ -32,7 +32,7 @@
   'home rollback': ['group,service,deadlineMs,type,transactionId'],
   'home explain': ['type,group,service,kind,floor,deadlineMs']
 }
-/** Messages that the steps of this file always bring about. */
+/** Messages that these tests always trigger. */
 const CERTAIN = [
   'heartbeat', 'promote', 'configuration-revision', 'set-work', 'home execute', 'home begin', 'home transaction-execute',
   'home commit', 'home rollback', 'home explain', 'leadership'
@@ -42,7 +42,7 @@
   'set-work', 'home', 'nothing'
 ]
 
-/** Names of fields, and types of values. */
+/** Replaces each value by its type. */
 function shapeOf (value: unknown): unknown {
   if (Array.isArray(value)) {
     return value.length === 0 ? [] : [shapeOf(value[0])]
@@ -52,7 +52,7 @@
     : typeof value
 }
 
-describe('running proxies and keepers', () => {
+describe('interfaces of running proxies and keepers', () => {
   const seen = new Map<string, Set<string>>()
   let deployment: TestDeployment
 
@@ -61,7 +61,7 @@
     const shown = Array.isArray(body) ? fields.slice(0, 1) : fields
     seen.set(name, (seen.get(name) ?? new Set()).add(shown.join(',')))
   }
-  /** Notes what a host sends to others. */
+  /** Records the requests that a host sends, and the replies it gets. */
   const listen = ({ kernel, callerPort }: DeployedHost): void => {
     const role = callerPort === 0 ? 'keeper' : 'proxy'
     const nameOf = (type: string, body: unknown): string => {
@@ -115,7 +115,7 @@
     expect(unknown.filter(([, forms]) => forms.length > 0)).toEqual([])
   }
 
-  it('know the same types of messages', async () => {
+  it('handle the same message types', async () => {
     const handled: Record<string, string[]> = {}
     for (const [role, { kernel }] of [['proxy', deployment.proxies[1]!], ['keeper', deployment.keepers[0]!]] as const) {
       const endpoint = { address: '127.0.0.1', port: kernel.use('peers').port }
@@ -137,7 +137,7 @@
     })
   })
 
-  it('answer on the same paths', async () => {
+  it('respond on the same paths', async () => {
     await purchase(await deployment.connect(0), 'paths', 'p1')
     await readRequests(await deployment.connect(0), 'paths')
     await expectReply('live', '/live')
@@ -157,7 +157,7 @@
     await expectReply('rollback', '/rollback', { group: GROUP, version: 1, changeId: randomUUID(), reason: '' })
   })
 
-  it('refuse with the same statuses and errors', async () => {
+  it('reject requests with the same statuses and errors', async () => {
     const refusals = [
       await call('/query', { query: 'show groups' }, undefined, 'wrong'), await call('/query', 'not json'),
       await call('/query', { query: 'shwo groups' }), await call('/query', { query: 'drain upstream none' }),
@@ -168,7 +168,7 @@
     expectGolden(FILE, 'refusals', refusals)
   })
 
-  it('show the same columns', async () => {
+  it('return the same columns', async () => {
     const connection = await deployment.connect(0)
     await readRequests(connection, 'columns')
     const home = deployment.proxies.findIndex(({ kernel, name }) => kernel.use('routing').homesOf(GROUP)[0]?.host === name)
@@ -195,7 +195,7 @@
     }
   })
 
-  it('dump the same parts', async () => {
+  it('dump the state of the same plugins', async () => {
     for (const [role, host] of [['proxy', deployment.proxies[0]!], ['keeper', deployment.keepers[0]!]] as const) {
       const { text } = await call('/dump', undefined, host)
       const parts = Object.entries(JSON.parse(text) as Record<string, Record<string, unknown>>)
@@ -204,7 +204,7 @@
     }
   })
 
-  it('send messages of the same fields', async () => {
+  it('send messages with the same fields', async () => {
     for (const proxy of [0, 1, 2]) {
       const connection = await deployment.connect(proxy)
       await purchase(connection, 'messages', `m${proxy}`)
@@ -226,7 +226,7 @@
     expectKnown()
   })
 
-  it('send messages of the same fields when an upstream and a host are silent', async () => {
+  it('send messages with the same fields when an upstream and a host do not respond', async () => {
     const reader = await deployment.connect(0)
     deployment.network.isolate(deployment.primaryOf(GROUP).upstream.name)
     await until(async () => {
--- a/test/frozen/mysql-frames.test.ts
+++ b/test/frozen/mysql-frames.test.ts
@@ -1,4 +1,4 @@
-/** Frames between processes: their bytes, the handshake, and what is read back from bytes written before. */
+/** Frames between processes: encoding, handshake, and decoding of bytes from earlier releases. */
 import { once } from 'node:events'
 import { connect, createServer, type AddressInfo, type Socket } from 'node:net'
 import { PassThrough } from 'node:stream'
@@ -42,7 +42,7 @@
   return Buffer.concat(chunks)
 }
 
-/** Decodes the frames in bytes that come in pieces. */
+/** Decodes frames from bytes that arrive in chunks. */
 async function decodeFrames (pieces: Buffer[]): Promise<unknown[]> {
   const socket = new PassThrough()
   const values: unknown[] = []
@@ -147,7 +147,7 @@
 const failure = (verdict: string, entry: string, details: unknown): unknown =>
   ({ failure: { verdict, entry, details }, id: 70_000 })
 
-/** Each frame that proxies and keepers send. */
+/** One example of each frame that proxies and keepers send. */
 const FRAMES: Record<string, unknown> = {
   challenge: { type: 'challenge', nonce: NONCE },
   hello: { type: 'hello', host: 'proxy-1', proof: proveKey(KEY, 'client', NONCE, 'proxy-1'), nonce: NONCE },
@@ -190,11 +190,11 @@
 
 describe('frames', () => {
   for (const [name, value] of Object.entries(FRAMES)) {
-    it(`have the same bytes: ${name}`, async () => {
+    it(`encode to the same bytes: ${name}`, async () => {
       expectGolden(FILE, name, (await encodeFrame(value)).toString('hex'))
     })
 
-    it(`of before are read: ${name}`, async () => {
+    it(`from earlier releases are decoded: ${name}`, async () => {
       const bytes = Buffer.from(readGolden(FILE)[name] as string, 'hex')
       const [decoded] = await decodeFrames([bytes])
       expect(JSON.stringify(toJson(decoded))).toEqual(JSON.stringify(toJson(value)))
@@ -204,13 +204,13 @@
     })
   }
 
-  it('have the same limits', () => {
+  it('have the same size limits', () => {
     expect([MAXIMUM_HELLO_BYTES, MAXIMUM_FRAME_BYTES]).toEqual([1024, 67_108_864])
   })
 })
 
-describe('bodies of frames', () => {
-  it('are read as before', () => {
+describe('frame bodies', () => {
+  it('are parsed to the same values', () => {
     const extra = { later: 1 }
     expectGolden(FILE, 'parsed bodies', {
       heartbeat: heartbeatSchema.parse({ ...HEARTBEAT, ...extra }),
@@ -228,7 +228,7 @@
     })
   })
 
-  it('carry the same digest of members, whatever their order', () => {
+  it('carry the same member digest in any order of members', () => {
     const list = createMemberList()
     const reversed = createMemberList()
     const empty = createMemberList().digest()
@@ -244,7 +244,7 @@
 })
 
 describe('proofs of the peer key', () => {
-  it('are the same bytes', () => {
+  it('have the same bytes', () => {
     expectGolden(FILE, 'proofs', [
       proveKey(KEY, 'client', NONCE, 'proxy-1'), proveKey(KEY, 'server', NONCE, 'proxy-1'), proveKey('', 'client', NONCE, 'ž')
     ])
@@ -253,7 +253,7 @@
   })
 })
 
-/** Speaks the frames of before on a socket. */
+/** Sends and receives frames on a socket. */
 function speak (socket: Socket): { next: () => Promise<Record<string, unknown>>, send: (value: unknown) => void } {
   const values: Array<Record<string, unknown>> = []
   const waiting: Array<(value: Record<string, unknown>) => void> = []
@@ -268,7 +268,7 @@
 }
 
 describe('the handshake', () => {
-  it('of the accepting side and its replies have the same names in the same order', async () => {
+  it('of the accepting side and its replies has the same fields in the same order', async () => {
     const handlers = new Map([['echo', async (body: unknown) => body]])
     const server = await listenForPeers({
       host: 'proxy-2', address: '127.0.0.1', port: 0, key: KEY, logger: silentLogger, handlers
@@ -289,7 +289,7 @@
     expectGolden(FILE, 'accepting side', { challenge: Object.entries({ ...challenge, nonce: 16 }), welcome, answer, refusal })
   })
 
-  it('of the connecting side and its requests have the same names in the same order', async () => {
+  it('of the connecting side and its requests has the same fields in the same order', async () => {
     const heard: unknown[] = []
     const server = createServer((socket) => {
       const { next, send } = speak(socket)
@@ -314,8 +314,8 @@
   })
 })
 
-describe('requests of a caller\'s transaction', () => {
-  it('have the same fields in the same order, whole and as bytes', async () => {
+describe('requests in a caller\'s transaction', () => {
+  it('have the same fields in the same order, and the same encoding', async () => {
     const sent: HomeRequest[] = []
     const take = (request: HomeRequest): HomeReply => {
       const { transactionId } = request as { transactionId?: string }
--- a/test/frozen/mysql-golden.ts
+++ b/test/frozen/mysql-golden.ts
@@ -1,15 +1,15 @@
-/** Golden data of the forms that cross a process boundary or are stored. */
+/** Golden data of formats that cross process boundaries or are stored. */
 import { existsSync, readFileSync, writeFileSync } from 'node:fs'
 import { expect } from 'earl'
 
 const FOLDER = new URL('./golden/', import.meta.url)
-/** Adds names that are missing from the golden files; what is there already is never written again. */
+/** Adds missing entries to the golden files; existing entries are never overwritten. */
 const ADDS_MISSING = process.env['WORKSWARD_FREEZE'] === '1'
 
 /**
  * Reads golden data.
  *
- * @param file - name of the file, without its ending
+ * @param file - file name without prefix and extension
  * @returns the values by name
  */
 export function readGolden (file: string): Record<string, unknown> {
@@ -18,11 +18,11 @@
 }
 
 /**
- * Compares a value with golden data, the order of keys included.
+ * Compares a value with golden data, including the order of keys.
  *
- * @param file - name of the file, without its ending
+ * @param file - file name without prefix and extension
  * @param name - name of the value in the file
- * @param value - the value; bytes and undefined are written so that JSON can hold them
+ * @param value - the value; bytes, undefined and big integers are converted for JSON
  */
 export function expectGolden (file: string, name: string, value: unknown): void {
   const golden = readGolden(file)
@@ -36,10 +36,10 @@
 }
 
 /**
- * Writes a value so that JSON can hold it without loss.
+ * Converts a value to JSON without loss.
  *
  * @param value - the value
- * @returns the same with tagged bytes, undefined and big integers
+ * @returns the value with tagged bytes, undefined and big integers
  */
 export function toJson (value: unknown): unknown {
   if (value === undefined) {
@@ -60,10 +60,10 @@
 }
 
 /**
- * Runs a function and shows what it threw.
+ * Runs a function and describes the error it throws.
  *
  * @param run - the function
- * @returns its result, or name, message and verdict of the error
+ * @returns the result, or the name, message and verdict of the error
  */
 export function outcomeOf (run: () => unknown): unknown {
   try {
--- a/test/frozen/mysql-placement.test.ts
+++ b/test/frozen/mysql-placement.test.ts
@@ -1,4 +1,4 @@
-/** Which hosts look after which groups and upstreams: processes of two versions must place them alike. */
+/** Placement of groups and upstreams on hosts; processes of different versions must compute the same. */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { countHomes, homesOf, orderByScore, scoreOf as scoreOfUpstream } from '../../src/placement/upstream-homes.ts'
@@ -20,22 +20,22 @@
     [group, COUNTS.map((count) => placeGroup(group, hosts, count).map(({ host }) => host).join(' '))]))
 }
 
-describe('the homes of groups', () => {
+describe('homes of groups', () => {
   it('are the same for 40 groups and 12 hosts', () => {
     expectGolden(FILE, 'homes of groups', placeAll(HOSTS))
   })
 
-  it('do not depend on the order of hosts', () => {
+  it('are independent of the order of hosts', () => {
     expect(placeAll([...HOSTS].reverse())).toEqual(placeAll(HOSTS))
   })
 
-  it('are the same while hosts are gone', () => {
+  it('are the same with some hosts absent', () => {
     expectGolden(FILE, 'homes of groups without four hosts', placeAll(HOSTS.slice(4)))
     const inOneDomain = HOSTS.filter(({ failureDomain }) => failureDomain === 'seoul-b')
     expectGolden(FILE, 'homes of groups in one domain', placeAll(inOneDomain))
   })
 
-  it('are the same from the cache', () => {
+  it('are the same when cached', () => {
     const cache = createPlacementCache<typeof HOSTS[number]>()
     cache.update(HOSTS.slice(4))
     GROUPS.forEach((group) => cache.place(group, 3))
@@ -48,7 +48,7 @@
   })
 })
 
-describe('the homes of upstreams', () => {
+describe('homes of upstreams', () => {
   const upstreams = GROUPS.map((upstream, index) =>
     ({ upstream, failureDomain: DOMAINS[index % 3]!, slots: 2 + index % 4 }))
 
@@ -57,12 +57,12 @@
       [placed.upstream, [16, 25, 60].map((cap) => homesOf(placed, HOSTS, cap).map(({ name }) => name).join(' '))])))
   })
 
-  it('are the same while hosts are gone', () => {
+  it('are the same with some hosts absent', () => {
     expectGolden(FILE, 'homes of upstreams without four hosts', Object.fromEntries(upstreams.map((placed) =>
       [placed.upstream, homesOf(placed, HOSTS.slice(4), 60).map(({ name }) => name).join(' ')])))
   })
 
-  it('are as many, in the same order and with the same scores', () => {
+  it('have the same number, order and scores', () => {
     const order = (group: string): string => orderByScore(group, HOSTS).map(({ name }) => name).join(' ')
     expectGolden(FILE, 'orders', GROUPS.slice(0, 5).map(order))
     expectGolden(FILE, 'scores of upstreams', GROUPS.slice(0, 5).map((group) => scoreOfUpstream(group, 'host-1')))
--- a/test/frozen/mysql-programs.test.ts
+++ b/test/frozen/mysql-programs.test.ts
@@ -1,4 +1,4 @@
-/** What the programs print when they are asked for help, and how they end. */
+/** Output and exit codes of the programs. */
 import { spawn } from 'node:child_process'
 import { describe, it } from 'node:test'
 import { expectGolden } from './mysql-golden.ts'
@@ -9,10 +9,10 @@
 const COMMANDS = [
   'check', 'check-entry', 'explain-log', 'plan', 'apply', 'rollback', 'query', 'prompt', 'dump', 'hash-password', 'hash-key'
 ]
-/** A port on which nothing answers. */
+/** A port without a listener. */
 const NOBODY = '127.0.0.1:1'
 
-/** Arguments by name of the run. */
+/** Command-line arguments by name of the run. */
 const RUNS: Record<string, string[][]> = {
   worksward: [
     ['--help'], ['--version'], [], ['aply'], ...COMMANDS.map((command) => [command, '--help']), ['check', 'none.yaml'],
@@ -44,16 +44,16 @@
   return { code, output: stripMachine(output), errors: stripMachine(errors) }
 }
 
-/** The first line of the help tells runtime and system. */
+/** The first line of the help contains the runtime version and the platform. */
 function stripMachine (text: string): string {
   return text.replaceAll(/ [a-z0-9]+-[a-z0-9]+ node-v[0-9.]+/g, ' SYSTEM')
 }
 
-describe('the programs', { concurrency: 2 }, () => {
+describe('programs', { concurrency: 2 }, () => {
   for (const [program, runs] of Object.entries(RUNS)) {
     for (const args of runs) {
       const name = [program, ...args].join(' ')
-      it(`answer the same: ${name}`, async () => {
+      it(`print the same output: ${name}`, async () => {
         expectGolden(FILE, name, await runProgram(program, args))
       })
     }
--- a/test/frozen/mysql-session-forms.test.ts
+++ b/test/frozen/mysql-session-forms.test.ts
@@ -1,4 +1,4 @@
-/** Session tokens, request keys, positions and hints: what callers carry and what ledgers hold. */
+/** Formats of session tokens, request keys, positions and hints, which callers and ledgers store. */
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
 import { readHint, readHintValues } from '../../src/mysql-proxy/callers/hint.ts'
@@ -28,22 +28,22 @@
 describe('session tokens', () => {
   const tokens = createSessionTokens(SECRET)
   for (const [name, content] of Object.entries(CONTENTS)) {
-    it(`are the same characters: ${name}`, () => {
+    it(`encode to the same text: ${name}`, () => {
       expectGolden(FILE, `token ${name}`, tokens.seal(content))
     })
 
-    it(`made before are read: ${name}`, () => {
+    it(`from earlier releases are decoded: ${name}`, () => {
       const token = readGolden(FILE)[`token ${name}`] as string
       expect(isSessionToken(token)).toEqual(true)
       expect(tokens.open(token, 'app')).toEqual(content)
     })
   }
 
-  it('without the upstreams that were seen are read', () => {
+  it('without upstreams are decoded', () => {
     expect(sessionFloorSchema.parse({ term: 1, position: 2 })).toEqual({ term: 1, position: 2, seenOn: [] })
   })
 
-  it('are refused as before', () => {
+  it('are rejected with the same errors', () => {
     const token = tokens.seal(CONTENTS['empty']!)
     expectGolden(FILE, 'token refusals', [
       outcomeOf(() => tokens.open(token, 'other')),
@@ -58,14 +58,14 @@
 })
 
 describe('request keys', () => {
-  it('carry their time in the form of UUID version 7', () => {
+  it('contain their time as UUID version 7', () => {
     const before = Date.now()
     const key = createRequestKey()
     expect(key).toMatchRegex(/^[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$/)
     expect(Number.parseInt(key.replaceAll('-', '').slice(0, 12), 16) >= before).toEqual(true)
   })
 
-  it('tell their time as before', () => {
+  it('yield the same time', () => {
     const keys = [
       '0190a1b2-c3d4-7abc-8def-0123456789ab', '0190A1B2-C3D4-7ABC-BDEF-0123456789AB',
       '0190a1b2-c3d4-4abc-8def-0123456789ab', '0190a1b2-c3d4-7abc-cdef-0123456789ab', 'order-17', ''
@@ -89,7 +89,7 @@
 })
 
 describe('positions', () => {
-  it('have the same text and join the same way', () => {
+  it('have the same text and merge the same way', () => {
     const floor = { term: 7, position: 90_000, seenOn: [{ upstream: 'member-a-2', incarnation: 'beef' }, ...FLOOR.seenOn] }
     expectGolden(FILE, 'positions', {
       texts: [formatPosition({ term: 3, position: 12_345 }), formatPosition({ term: 0, position: 0 }),
@@ -110,18 +110,18 @@
     "SELECT 1 /*worksward_kind='%'*/", "SELECT /*worksward_kind='a'*/ 1 /*worksward_key='b'*/", "SELECT 1 -- worksward_kind='grid'",
     "SELECT 1 # worksward_kind='grid'", "SELECT 1 /*worksward_kind=''*/"
   ]
-  it('are read as before', () => {
+  it('are parsed to the same values', () => {
     expectGolden(FILE, 'hints', statements.map((sql) => ({ sql, hint: outcomeOf(() => readHint(sql)) })))
   })
 
-  it('are read from connection attributes as before', () => {
+  it('are parsed from connection attributes to the same values', () => {
     expectGolden(FILE, 'hints of attributes', [
       readHintValues({ worksward_kind: 'grid', worksward_session: 's', _client_name: 'c' }),
       outcomeOf(() => readHintValues({ worksward_other: 'grid' }))
     ])
   })
 
-  it('are set as before', () => {
+  it('are set to the same values', () => {
     const settings = [
       "SET @worksward_kind = 'grid'", "set @worksward_session='it''s';", 'SET @worksward_key = NULL', 'SET NAMES utf8mb4',
       "SET NAMES 'utf8' COLLATE utf8_general_ci", 'SET NAMES latin1', 'SET CHARACTER SET utf8', 'SET autocommit=1',
@@ -130,7 +130,7 @@
     expectGolden(FILE, 'settings', settings.map((sql) => ({ sql, setting: readSetting(sql) })))
   })
 
-  it('leave statements in their classes', () => {
+  it('do not change the class of a statement', () => {
     const classed = [
       'BEGIN', 'start transaction', 'COMMIT', 'ROLLBACK', 'ROLLBACK TO SAVEPOINT a', 'SAVEPOINT a', 'SET a = 1', 'USE `b`',
       'SELECT @@worksward_session', 'SELECT 1', 'XA START 1', 'LOCK TABLES a READ', 'UNLOCK TABLES', 'PREPARE a FROM 1', 'EXECUTE a',
--- a/test/frozen/mysql-settings.test.ts
+++ b/test/frozen/mysql-settings.test.ts
@@ -1,4 +1,4 @@
-/** Settings and declarations as people write them, and the names that errors and commands have. */
+/** Formats of settings and declarations, and names of errors and commands. */
 import { readdirSync, readFileSync } from 'node:fs'
 import { describe, it } from 'node:test'
 import { expect } from 'earl'
@@ -42,7 +42,7 @@
 }
 type SchemaName = keyof typeof SCHEMAS
 
-/** Which schema an example file has. */
+/** Schema of each example file. */
 function schemaOf (file: string): SchemaName | undefined {
   if (file === 'entry.yaml') {
     return undefined
@@ -64,7 +64,7 @@
   for (const file of readdirSync(EXAMPLES).sort()) {
     const name = schemaOf(file)
     if (name !== undefined) {
-      it(`of examples are read as before: ${file}`, () => {
+      it(`of examples are parsed to the same values: ${file}`, () => {
         expectGolden('examples', file, loadFile(new URL(file, EXAMPLES).pathname, SCHEMAS[name]))
       })
     }
@@ -75,7 +75,7 @@
     expect(parse(readFileSync(new URL('association-proxy-1.yaml', EXAMPLES), 'utf8')) !== null).toEqual(true)
   })
 
-  it('that are wrong are refused with the same words', () => {
+  it('that are invalid are rejected with the same messages', () => {
     const refuse = (name: SchemaName, text: string): unknown => outcomeOf(() => parseContent('f.yaml', text, SCHEMAS[name]))
     expectGolden(FILE, 'refusals', [
       refuse('proxy', ''), refuse('keeper', 'host: { name: a }\nlisten: { http: never }\nunknown: 1\n'),
@@ -87,7 +87,7 @@
     ])
   })
 
-  it('have the same words', () => {
+  it('have the same enumerated values', () => {
     expectGolden(FILE, 'words', { OPERATOR_RIGHTS, LOG_LEVELS, kind: kindSchema.parse({ access: 'write' }) })
   })
 })
@@ -134,7 +134,7 @@
     })))
   })
 
-  it('of unknown kind become the same request errors', () => {
+  it('of unknown type become the same request errors', () => {
     const shown = (thrown: unknown, override = false): unknown => {
       const { entry, verdict, details, mysqlCode } = toRequestError(thrown, 'may-have-run', override)
       return { entry, verdict, details, mysqlCode }
@@ -159,12 +159,12 @@
   'show groups limit x', 'show groups order upstream', 'show groups where a ~ 1', 'show groups show', "set a.b = 'open", 'set true.b = 1'
 ]
 
-describe('the operators\' language', () => {
-  it('reads the same commands', () => {
+describe('operator language', () => {
+  it('parses the same commands', () => {
     expectGolden(FILE, 'commands', COMMANDS.map((text) => ({ text, command: outcomeOf(() => parseCommand(text)) })))
   })
 
-  it('has the same words', () => {
+  it('has the same keywords', () => {
     expectGolden(FILE, 'command words', { COMMAND_WORDS, TABLE_NAMES, COMPARISONS, WORDS_AFTER })
   })
 })
@@ -180,7 +180,7 @@
     groups: { a: { ...GROUP, limits: { queue: 1 }, services: { app: SERVICE, web: SERVICE } }, b: GROUP }
   })
 
-  it('are listed and built the same way', () => {
+  it('are listed and built identically', () => {
     expectGolden(FILE, 'differences', listDifferences(inForce, wanted))
     expectGolden(FILE, 'changes', buildChanges(inForce, wanted).map(({ name, baseVersion, group: next }) =>
       ({ name, baseVersion, removed: next === null })))
@@ -198,7 +198,7 @@
 })
 
 describe('operators', () => {
-  it('have the same hashes of their keys and the same form of authorization', () => {
+  it('have the same key hashes and authorization format', () => {
     const operators = [{ name: 'o', keyHash: hashOperatorKey('key'), rights: ['read' as const] }]
     const check = (authorization: string | undefined): unknown => {
       const operator = authenticateOperator(operators, authorization)
--- a/test/frozen/mysql-stored-forms.test.ts
+++ b/test/frozen/mysql-stored-forms.test.ts
@@ -1,4 +1,4 @@
-/** Rows and objects in the platform, as requests to it carry them, and statements that upstreams are sent. */
+/** Rows and objects in requests to the platform, and statements sent to upstreams. */
 import { once } from 'node:events'
 import { createServer, type Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -52,7 +52,7 @@
 })
 const change = (changeId: string) => ({ changeId, operator: 'operator', at: '2026-01-01T00:00:00.000Z', reason: 'š' })
 
-/** The client library makes up a token for each transaction. */
+/** Masks the random token that the client library adds to each transaction. */
 function hideToken (body: string): string {
   return body.replace(/"ClientRequestToken":"[0-9a-f-]{36}"/, '"ClientRequestToken":"random"')
 }
@@ -125,7 +125,7 @@
     await step('object that is not there', async () => await connection.objects.get('groups/none'))
   })
 
-  it('of before are read', async () => {
+  it('from earlier releases are parsed', async () => {
     table = createTableService()
     objects = createObjectStore()
     for (const name of ['first change', 'second change']) {
@@ -156,7 +156,7 @@
     })
   })
 
-  it('that list hosts are read the same way', async () => {
+  it('that list hosts are parsed to the same values', async () => {
     const row = { host: 'proxy-9', role: 'proxy', failureDomain: 'a', address: '10.0.0.9', port: 7001, state: 'live' }
     const body = '{"host":"proxy-9","role":"proxy","failureDomain":"a","address":"10.0.0.9","port":7001,"state":"live"}'
     expect(hostRowSchema.parse(JSON.parse(body)) as unknown).toEqual(row)
@@ -186,7 +186,7 @@
   }
 }
 
-/** A connection that records what it is sent. */
+/** Creates a connection that records the statements sent to it. */
 function createRecorder (): { client: Client, sent: Statement[] } {
   const sent: Statement[] = []
   const run = async (statement: Statement): Promise<Answer> => {
@@ -212,7 +212,7 @@
     ])
   })
 
-  it('that commit under a key, and without one, have the same text', async () => {
+  it('that commit with and without a key have the same text', async () => {
     const { client, sent } = createRecorder()
     const deadline = (): Deadline => new Deadline(60_000)
     const result = await runAndCommit(client, { sql: 'INSERT INTO a VALUES (?)', values: [1] }, ATTEMPT, deadline(),
@@ -222,7 +222,7 @@
     expectGolden(FILE, 'commits', { sent, result })
   })
 
-  it('that turn manual commits on and off have the same text', async () => {
+  it('that enable and disable manual commits have the same text', async () => {
     const { client, sent } = createRecorder()
     await useManualCommit(client, true, 1000)
     await useManualCommit(client, true, 1000)
@@ -242,7 +242,7 @@
     expectGolden(FILE, 'sweeps', { sent, swept, SWEEP_INTERVAL_MS })
   })
 
-  it('are answered with rows that are read as before', () => {
+  it('return rows that are parsed to the same values', () => {
     const answer = toRows(COLUMNS, CELLS)
     expectGolden(FILE, 'parsed rows', {
       ledger: parseLedgerRecord(answer), status: parseStatus(answer), end: logEnd(parseStatus(answer))
--- a/test/frozen/platform-lines.test.ts
+++ b/test/frozen/platform-lines.test.ts
@@ -52,15 +52,15 @@
   'DEALLOC p', 'DEALLOC p q', 'DEALLOC', 'begin', '', 'OTHER x'
 ]
 
-describe('words of the wire keep their bytes', () => {
-  it('of failures', () => {
+describe('protocol keyword encoding is unchanged', () => {
+  it('for failures', () => {
     for (const [code, kind] of Object.entries(FAILURES)) {
       expect([encodeFailure(kind), decodeFailure(code)]).toEqual([code, kind])
     }
     expect(decodeFailure('OTHER')).toEqual('failed')
   })
 
-  it('of states and positions', () => {
+  it('for states and positions', () => {
     expect([encodeState('idle'), encodeState('open'), encodeState('failed')]).toEqual(['I', 'T', 'E'])
     expect(['I', 'T', 'E', 'X', ''].map(decodeState)).toEqual(['idle', 'open', 'failed', undefined, undefined])
     expect([encodePosition(POSITION), encodePosition(undefined)]).toEqual(['3.1207', '-'])
@@ -68,16 +68,16 @@
       .toEqual([POSITION, undefined, undefined, undefined, undefined, undefined])
   })
 
-  it('of commands to upstreams', () => {
+  it('for commands to upstreams', () => {
     expectGolden('platform-commands', COMMANDS.map((command) => ({ command, line: encodeCommand(command) })))
   })
 
-  it('of statements of callers', () => {
+  it('for statements from callers', () => {
     expectGolden('platform-statements', STATEMENTS.map((text) => ({ text, statement: decodeStatement(text) })))
   })
 })
 
-describe('lines keep their bytes', () => {
+describe('line encoding is unchanged', () => {
   const ends: Array<() => Promise<void> | void> = []
   afterEach(async () => {
     for (const end of ends.splice(0).reverse()) {
@@ -85,7 +85,7 @@
     }
   })
 
-  /** A port that was free a moment ago; callers' listeners don't tell which one they got. */
+  /** Finds a free port; the caller listener does not report the port it is bound to. */
   const findPort = async (): Promise<number> => {
     const server = createServer().listen(0, ADDRESS)
     await once(server, 'listening')
@@ -93,7 +93,7 @@
     await new Promise((resolve) => server.close(resolve))
     return port
   }
-  /** Sends text to a listening port for callers, and returns all that came until it ended the connection. */
+  /** Sends text to a caller port and collects the response until the server closes the connection. */
   const talk = async (text: string, answers: StatementAnswer[]): Promise<{ sent: string, requests: unknown[] }> => {
     const port = await findPort()
     const requests: unknown[] = []
@@ -129,7 +129,7 @@
     expectGolden('platform-caller-lines', await talk(lines.map((line) => `${line}\r\n`).join(''), answers))
   })
 
-  it('to callers that begin with something else', async () => {
+  it('to callers that do not start with START', async () => {
     expect((await talk('HELLO money key\r\n', [])).sent).toEqual('ERR MALFORMED the first line must be START\r\n')
     expect((await talk('START money\r\n', [])).sent).toEqual('ERR MALFORMED the first line must be START\r\n')
     expect((await talk('x'.repeat(1_048_577), [])).sent).toEqual('ERR TOOBIG a message may have 1 MiB\r\n')
--- a/test/frozen/platform-store.test.ts
+++ b/test/frozen/platform-store.test.ts
@@ -40,7 +40,7 @@
   ]
 }
 
-/** A value as JSON shows it, with maps as lists of pairs. */
+/** Converts a value to JSON, with maps as lists of pairs. */
 function show (value: unknown): unknown {
   if (value instanceof Map) {
     return [...value].map(show)
@@ -53,11 +53,11 @@
     : value
 }
 
-describe('HTTP calls keep their bytes', () => {
+describe('HTTP call encoding is unchanged', () => {
   const ends: Array<() => void> = []
   afterEach(() => ends.splice(0).reverse().forEach((end) => end()))
 
-  /** A server that answers from a list, and keeps the calls as they came. */
+  /** Starts a server that sends responses from a list and records the raw requests. */
   const serve = async (
     answers: Array<[number, unknown]>, keepAlive: boolean
   ): Promise<{ http: HttpClient, calls: () => string[] }> => {
@@ -87,7 +87,7 @@
     return { http, calls: () => calls.map((call) => call.replaceAll(String(port), 'PORT')) }
   }
 
-  it('to the store', async () => {
+  it('in calls to the store', async () => {
     const row = (key: string, ver: number) => ({ 'tls-key': key, value: encode(`of ${key}`), ver })
     const { http, calls } = await serve([
       [200, { rows: [row('a', 1), row('b/ä', 2)], ver: 7, 'now-ms': 70.5, 'has-more': true }],
@@ -118,7 +118,7 @@
     expectGolden('platform-store-calls', { calls: calls(), results })
   })
 
-  it('to the service that promotes', async () => {
+  it('in calls to the promotion service', async () => {
     const { http, calls } = await serve([[200, {}], [409, {}], [403, {}]], false)
     const promotion = createPromotion(http)
     const order = { group: 'g', upstream: 'g-b', holder: 'front-1', fence: 12 }
@@ -131,8 +131,8 @@
   })
 })
 
-describe('rows that the platform writes are decoded as ever', () => {
-  it('of upstreams', () => {
+describe('decoding of platform rows is unchanged', () => {
+  it('for upstreams', () => {
     expect(directory.table).toEqual('servers')
     const values: unknown[] = [
       { ...SERVER, 'db-role': 'primary', born: 1_700_000_000_000, unknown: 1 },
@@ -154,7 +154,7 @@
     })))
   })
 
-  it('of the desired state', () => {
+  it('for the desired state', () => {
     expect([desiredState.table, desiredState.key]).toEqual(['op', 'config'])
     const decode = (value: unknown): unknown => {
       try {
@@ -174,12 +174,12 @@
   })
 })
 
-describe('digests of keys', () => {
-  it('stay the same', () => {
+describe('key digests', () => {
+  it('have the same values', () => {
     expect(['key-1', '', 'ä'].map(digestOfKey)).toEqual(['vil0VGl443OebW2oXEvp8z', '47DEQpj8HBSa-_TImW-5JC', 'M-bXP-6CkEyNevt43hFU0e'])
   })
 
-  it('take the place of keys in texts', () => {
+  it('replace keys in texts', () => {
     const sealed = [
       '{"version":1,"tenants":[{"name":"red","api-keys":["key-1","",3],"burst":5}]}',
       '{"api-keys":"key-1","key-digests":["x"],"deep":{"list":[{"api-keys":["ä"]}]}}',
--- a/test/frozen/process.test.ts
+++ b/test/frozen/process.test.ts
@@ -13,7 +13,7 @@
 const ADDRESS = '127.0.0.1'
 const PROGRAM = new URL('../../bin/worksward-entry.js', import.meta.url).pathname
 
-/** Ports that were free a moment ago. */
+/** Finds free ports. */
 async function findPorts (count: number): Promise<number[]> {
   const servers = Array.from({ length: count }, () => createServer().listen(0, ADDRESS))
   await Promise.all(servers.map(async (server) => await once(server, 'listening')))
@@ -22,7 +22,7 @@
   return ports
 }
 
-describe('the program worksward-entry keeps its command line', () => {
+describe('command line of worksward-entry', () => {
   const run = async (args: string[], environment: Record<string, string> = {}): Promise<unknown> => {
     const inherited = { ...process.env }
     delete inherited['WORKSWARD_BOOT']
@@ -35,7 +35,7 @@
     return { code, output: output.split('\n'), errors: errors.split('\n') }
   }
 
-  it('its usage, and what it says of a settings file that is missing or wrong', async () => {
+  it('prints usage, and errors for missing or unnamed settings files and unknown options', async () => {
     expectGolden('program', {
       help: await run(['--help']),
       missing: await run(['/there/is/no/such/file.yaml']),
@@ -46,7 +46,7 @@
   })
 })
 
-describe('an entry process shows the same', () => {
+describe('endpoints of an entry process', () => {
   let kernel: Kernel
   let metricsPort: number
   let readinessPort: number
@@ -66,21 +66,21 @@
   after(async () => await kernel.close())
   const get = async (port: number, path: string): Promise<Response> => await fetch(`http://${ADDRESS}:${port}${path}`)
 
-  it('metrics, in names, helps, types and labels', async () => {
+  it('expose the same metric names, help texts, types and labels', async () => {
     const response = await get(metricsPort, '/metrics')
     expect([response.status, response.headers.get('content-type')])
       .toEqual([200, 'text/plain; version=0.0.4; charset=utf-8'])
     const lines = (await response.text()).split('\n')
     const comments = lines.filter((line) => line.startsWith('#'))
     const samples = lines.filter((line) => line !== '' && !line.startsWith('#'))
-    // Calls to the store come at their own times, so their labels do too.
+    // Labels of store calls depend on timing.
     const constant = samples.filter((line) => !line.startsWith('worksward_store_milliseconds'))
     const names = constant.map((line) => line.slice(0, line.lastIndexOf(' ')))
     expect(samples.filter((line) => !/^worksward_[a-z_]+\{label="[^"]*"\} \S+$/.test(line))).toEqual([])
     expectGolden('metrics', { comments: comments.sort(), names: [...new Set(names)].sort() })
   })
 
-  it('readiness, and the parts of its state', async () => {
+  it('report readiness and dump the same fields', async () => {
     expect((await get(readinessPort, '/')).status).toEqual(503)
     const response = await get(metricsPort, '/dump')
     expect([response.status, response.headers.get('content-type')]).toEqual([200, 'application/json'])
--- a/test/frozen/rows.test.ts
+++ b/test/frozen/rows.test.ts
@@ -24,13 +24,13 @@
   }
 ]
 
-describe('rows of the registry keep their bytes', () => {
-  it('are in one table, under these keys', () => {
+describe('registry rows', () => {
+  it('use one table with these keys', () => {
     expect([REGISTRY_TABLE, registryKeys.host('h1'), registryKeys.group('g'), registryKeys.promotionLease, RETIRED_PROCESS])
       .toEqual(['worksward', 'host/h1', 'group/g', 'duty/promotion', 'retired'])
   })
 
-  it('are decoded, also with the fewest fields and with unknown ones', () => {
+  it('are decoded with the fewest fields and with unknown fields', () => {
     const { hosts, liveHosts, closedGroups, promotionLease, group, digest } = createSnapshot(ROWS, 9, 0)
     const [first, second, third] = [
       {
@@ -77,7 +77,7 @@
     expect(digest).toEqual('E9zFvJWMYtCKZwUfe6Bx29sMisC1s0k3cSgg1hI/XQg=')
   })
 
-  it('are refused when fields are missing', () => {
+  it('are rejected when fields are missing', () => {
     const decode = (key: string, value: string): string => {
       try {
         const { promotionLease, group } = createSnapshot([{ key, value, version: 1 }], 1, 0)
@@ -102,7 +102,7 @@
   const suite = setUpWorld(['h1', 'h2'])
   const rowOf = (host: string): string => suite.world.store.tables.get('worksward')!.get(`host/${host}`)!.value
 
-  it('tells at which primaries the process has stopped working', async () => {
+  it('lists the primaries that the process no longer uses', async () => {
     const registry = suite.world.hosts.get('h1')!.kernel.use('registry')
     const { process } = registry.self
     const { port } = JSON.parse(rowOf('h1')) as { port: number }
--- a/test/frozen/settings.test.ts
+++ b/test/frozen/settings.test.ts
@@ -19,7 +19,7 @@
   return createHash('sha256').update(readFileSync(`${ROOT}${file}`)).digest('hex')
 }
 
-/** Sets or removes one field of the least settings. */
+/** Sets or removes one field of the minimal settings. */
 function change (path: string, value: unknown): unknown {
   const settings = structuredClone(MINIMAL) as Record<string, unknown>
   const names = path.split('.')
@@ -29,20 +29,20 @@
   return settings
 }
 
-describe('settings of an entry process stay as they are', () => {
-  it('by default', () => {
+describe('settings of an entry process', () => {
+  it('have the same defaults', () => {
     expectGolden('settings-minimal', entrySettingsSchema.parse(MINIMAL))
   })
 
-  it('in the example', () => {
+  it('have the same example', () => {
     expectGolden('settings-example', loadFile(`${ROOT}examples/entry.yaml`, entrySettingsSchema))
   })
 
-  it('in the names and forms of fields', () => {
+  it('have the same field names and formats', () => {
     expectGolden('settings-schema', z.toJSONSchema(entrySettingsSchema, { io: 'input' }))
   })
 
-  it('in what is needed, and in what is refused', () => {
+  it('have the same required fields and rejected values', () => {
     const needed = [
       'host', 'host.name', 'host.address', 'host.failureDomain', 'listen', 'listen.callers', 'listen.readiness',
       'listen.peers', 'listen.metrics', 'store', 'promotion', 'peers', 'peers.key'
@@ -57,7 +57,7 @@
     expect(refused.filter(([path, value]) => entrySettingsSchema.safeParse(change(path, value)).success)).toEqual([])
   })
 
-  it('in what may be given, or left empty', () => {
+  it('accept the same values, including null', () => {
     const given: Array<[string, unknown]> = [
       ['graceSeconds', 0.5], ['drainMs', 1], ['limits.windowSeconds', 0], ['limits.windowSeconds', null],
       ['limits.tolerance.part', 0.25], ['limits.tolerance.part', null], ['limits.tolerance.operations', 12],
@@ -71,8 +71,8 @@
   })
 })
 
-describe('files of the deployment stay as they are', () => {
-  it('byte for byte', () => {
+describe('deployment files', () => {
+  it('are unchanged byte for byte', () => {
     expect([digestOf('deploy/system.toml'), digestOf('deploy/settings.yaml.template'), digestOf('examples/entry.yaml')])
       .toEqual([
         'e3a4879c7becfbdfe803ee98a9c0ddac6df4141e93dc43c29288c68178a874ae',
--- a/test/frozen/shapes.ts
+++ b/test/frozen/shapes.ts
@@ -1,7 +1,7 @@
-/** Shapes of values: which fields they have, in which order, and of which type. */
+/** Shapes of values: fields in order, with their types. */
 
 /**
- * Describes a value by its fields in their order and by their types.
+ * Describes the fields of a value in order, with their types.
  *
  * @param value - the value
  * @returns the shape, as text
@@ -17,10 +17,10 @@
 }
 
 /**
- * Lists the fields of a value that are there.
+ * Lists the paths of all defined fields of a value.
  *
  * @param value - the value
- * @param path - where it stands
+ * @param path - path of the value
  * @returns the paths of the fields
  */
 export function fieldsOf (value: unknown, path: string): string[] {
