--- a/test/entry/process/reborn-upstreams.test.ts
+++ b/test/entry/process/reborn-upstreams.test.ts
@@ -33,14 +33,14 @@
 
   it('serves no stale read as a replica that hosts still take for the primary', async () => {
     const acknowledged = await writeSeveral()
-    suite.world.upstreams.rebear(suite.world.upstreams.all.get('g-a')!, 'replica')
+    suite.world.upstreams.restartEmpty(suite.world.upstreams.all.get('g-a')!, 'replica')
     // The restart is not announced, so hosts still take the upstream for the primary.
     expect(await countStaleReads('money', acknowledged, 12)).toEqual(0)
   })
 
   it('serves no stale read while it still claims to be the primary', async () => {
     const acknowledged = await writeSeveral()
-    suite.world.upstreams.rebear(suite.world.upstreams.all.get('g-a')!, 'primary')
+    suite.world.upstreams.restartEmpty(suite.world.upstreams.all.get('g-a')!, 'primary')
     expect(await countStaleReads('money', acknowledged, 12)).toEqual(0)
   })
 
@@ -48,7 +48,7 @@
     const acknowledged = await writeSeveral()
     await suite.clock.tickAsync(1600)
     await countStaleReads('view', acknowledged, 6)
-    suite.world.upstreams.rebear(suite.world.upstreams.all.get('g-b')!, 'replica')
+    suite.world.upstreams.restartEmpty(suite.world.upstreams.all.get('g-b')!, 'replica')
     expect(await countStaleReads('view', acknowledged, 18)).toEqual(0)
   })
 
@@ -56,7 +56,7 @@
     const acknowledged = await writeSeveral()
     const primary = suite.world.upstreams.all.get('g-a')!
     await suite.clock.tickAsync(100)
-    suite.world.upstreams.rebear(primary, 'primary')
+    suite.world.upstreams.restartEmpty(primary, 'primary')
     suite.world.announce(primary)
     await suite.clock.tickAsync(3000)
     const written = await settle(suite.world.connect('h1', 'money').write(), 200)
