--- a/src/entry/leadership/close-epoch.ts
+++ b/src/entry/leadership/close-epoch.ts
@@ -46,7 +46,7 @@
     const keepsDeadline = because === 'lease-expired' || areFewSilent(progress)
     progress.lastStoppedAt = keepsDeadline ? progress.lastStoppedAt : performance.now()
     progress.silent--
-    logger.log('info', 'leadership.host-closed', {
+    logger.log('info', 'leadership.host-stopped', {
       group, epoch, peer: host.name, because, waitedMs: Math.round(performance.now() - closedAt)
     })
   }))
--- a/src/entry/leadership/stop-local-work.ts
+++ b/src/entry/leadership/stop-local-work.ts
@@ -55,7 +55,7 @@
       return
     }
     expired = isExpired
-    logger.log(isExpired ? 'warn' : 'info', isExpired ? 'leadership.lease-expired' : 'leadership.lease-regained', {
+    logger.log(isExpired ? 'warn' : 'info', isExpired ? 'leadership.lease-expired' : 'leadership.lease-restored', {
       ageMs: Math.round(ageMs), confirmedAgeMs: Math.round(registry.confirmedAgeMs())
     })
   }
--- a/src/entry/registry/follow-table.ts
+++ b/src/entry/registry/follow-table.ts
@@ -136,13 +136,13 @@
     succeeded: () => {
       if (failing) {
         failing = false
-        logger.log('info', 'feed.regained', { table, version: version() })
+        logger.log('info', 'feed.recovered', { table, version: version() })
       }
     },
     failed: (thrown) => {
       if (!failing) {
         failing = true
-        logger.log('warn', 'feed.lost', { table, reason: describeThrown(thrown) })
+        logger.log('warn', 'feed.unavailable', { table, reason: describeThrown(thrown) })
       }
     }
   }
--- a/src/entry/registry/registry-store.ts
+++ b/src/entry/registry/registry-store.ts
@@ -70,7 +70,7 @@
       unavailableListeners.forEach((listener) => listener())
       onUnavailable()
     }
-    logger.log(answered ? 'info' : 'warn', answered ? 'store.regained' : 'store.lost', {
+    logger.log(answered ? 'info' : 'warn', answered ? 'store.recovered' : 'store.unavailable', {
       reason, confirmedAgeMs: Math.round(state.confirmedAgeMs()), version: state.current.version
     })
   }
--- a/src/entry/requests/begin-transaction.ts
+++ b/src/entry/requests/begin-transaction.ts
@@ -57,7 +57,7 @@
     })
     if (decision.action === 'repeat' || cause.type === 'failure') {
       const { requestId: id, group, home } = scope
-      context.logger.log('info', 'transaction.begin-repeated', { id, group, upstream, home, reason: retryReason(cause) })
+      context.logger.log('info', 'transaction.begin-retried', { id, group, upstream, home, reason: retryReason(cause) })
     }
     if (decision.action === 'give-up') {
       throw error
--- a/src/entry/requests/reads.ts
+++ b/src/entry/requests/reads.ts
@@ -177,7 +177,7 @@
   { requestId, group, attempts, home }: RequestScope, upstream: string, cause: RetryCause, constraint: ReadConstraint
 ): void {
   metrics.retry(retryLabel(cause))
-  logger.log('info', 'read.repeated', {
+  logger.log('info', 'read.retried', {
     id: requestId,
     group,
     upstream,
--- a/src/entry/requests/writes.ts
+++ b/src/entry/requests/writes.ts
@@ -40,5 +40,5 @@
 ): void {
   metrics.retry(retryLabel(cause))
   const { requestId: id, group, upstream, home } = scope
-  logger.log('info', 'write.repeated', { id, group, upstream, home, reason: retryReason(cause) })
+  logger.log('info', 'write.retried', { id, group, upstream, home, reason: retryReason(cause) })
 }
--- a/src/explain/clock-offsets.ts
+++ b/src/explain/clock-offsets.ts
@@ -1,6 +1,6 @@
 /**
  * Estimates clock differences between hosts, since unsynchronised clocks make log lines appear out of order. A host's
- * `leadership.closing` must fall between the promoting host's `failover.started` and `leadership.host-closed`; if it
+ * `leadership.closing` must fall between the promoting host's `failover.started` and `leadership.host-stopped`; if it
  * doesn't, the host's clock is shifted so that it falls in the middle.
  */
 import type { LogEntry } from './parse-log.ts'
@@ -15,7 +15,7 @@
   const offsets = new Map<string, number>()
   const starts = entries.filter(({ event }) => event === 'failover.started')
   const acknowledgements = entries.filter(({ event, fields }) =>
-    event === 'leadership.host-closed' && fields['because'] === 'acknowledged')
+    event === 'leadership.host-stopped' && fields['because'] === 'acknowledged')
   const closings = entries.filter(({ event }) => event === 'leadership.closing')
   for (const closing of closings) {
     const { group, epoch } = closing.fields
--- a/src/explain/request-trace.ts
+++ b/src/explain/request-trace.ts
@@ -69,14 +69,14 @@
   'failover.started': ({ atMs, entry: { host, fields } }) =>
     `${atMs} ms: ${host} began to replace primary ${fields['primary']} of the group: ${fields['reason']}`,
   'failover.no-successor': ({ atMs }) => `${atMs} ms: no upstream could be promoted`,
-  'leadership.host-closed': ({ atMs, entry: { fields } }) => Number(fields['waitedMs']) > 1000
+  'leadership.host-stopped': ({ atMs, entry: { fields } }) => Number(fields['waitedMs']) > 1000
     ? `${atMs} ms: the failover waited ${fields['waitedMs']} ms for host ${fields['peer']} (${fields['because']})`
     : undefined,
   'upstream.unreachable': ({ atMs, entry: { host, fields } }, last) =>
     host === last.host || fields['upstream'] === last.fields['upstream']
       ? `${atMs} ms: ${host} lost upstream ${fields['upstream']}: ${fields['fault']}`
       : undefined,
-  'store.lost': ({ atMs, entry: { host } }, last) =>
+  'store.unavailable': ({ atMs, entry: { host } }, last) =>
     host === last.host ? `${atMs} ms: the store did not answer this host` : undefined,
   'leadership.lease-expired': ({ atMs, entry: { host, fields } }, last) => host === last.host
     ? `${atMs} ms: this host's lease on primaries had expired: last confirmed ${fields['confirmedAgeMs']} ms earlier`
@@ -84,9 +84,9 @@
   'leadership.aborted': ({ atMs, entry: { host, fields } }, last) => host === last.host
     ? `${atMs} ms: this host aborted the work in progress at ${fields['upstream']}: ${fields['reason']}`
     : undefined,
-  'read.repeated': ({ atMs, entry: { fields } }) =>
+  'read.retried': ({ atMs, entry: { fields } }) =>
     `${atMs} ms: upstream ${fields['upstream']} did not serve the read (${fields['reason']}, floor ${fields['floor']})`,
-  'write.repeated': ({ atMs, entry: { fields } }) =>
+  'write.retried': ({ atMs, entry: { fields } }) =>
     `${atMs} ms: upstream ${fields['upstream']} did not run the write (${fields['reason']})`,
   'read.upstream-unavailable': ({ atMs, entry: { fields } }) =>
     `${atMs} ms: no connection to ${fields['upstream']}: ${fields['reason']}`,
--- a/test/entry/process/failover-time.test.ts
+++ b/test/entry/process/failover-time.test.ts
@@ -113,7 +113,7 @@
     const waited: Record<string, number> = {}
     suite.world.logger = {
       log: (_level, event, fields) => {
-        if (event === 'leadership.host-closed') {
+        if (event === 'leadership.host-stopped') {
           waited[`${String(fields?.['peer'])} ${String(fields?.['because'])}`] = Number(fields?.['waitedMs'])
         }
       }
@@ -136,7 +136,7 @@
     const waited: Array<[string, number]> = []
     suite.world.logger = {
       log: (_level, event, fields) => {
-        if (event === 'leadership.host-closed' && silent.includes(String(fields?.['peer']))) {
+        if (event === 'leadership.host-stopped' && silent.includes(String(fields?.['peer']))) {
           waited.push([String(fields?.['because']), Number(fields?.['waitedMs'])])
         }
       }
--- a/test/entry/process/retry-budget.test.ts
+++ b/test/entry/process/retry-budget.test.ts
@@ -60,7 +60,7 @@
     const counts = { retried: 0, refused: 0 }
     suite.world.logger = {
       log: (_level, event) => {
-        counts.retried += event === 'read.repeated' ? 1 : 0
+        counts.retried += event === 'read.retried' ? 1 : 0
         counts.refused += event === 'retry.refused' ? 1 : 0
       }
     }
--- a/test/explain/request-trace.test.ts
+++ b/test/explain/request-trace.test.ts
@@ -16,7 +16,7 @@
   line(0, 'h1', 'upstream.unreachable', { group: 'g', upstream: 'g-a', fault: 'refused', reason: 'connect ECONNREFUSED' }),
   line(300, 'h1', 'failover.started', { group: 'g', reason: 'unreachable', primary: 'g-a', epoch: 1 }),
   line(310 + CLOCK_OFFSET_MS, 'h2', 'leadership.closing', { group: 'g', epoch: 1, confirmedAgeMs: 900 }),
-  line(320, 'h1', 'leadership.host-closed', { group: 'g', epoch: 1, peer: 'h2', because: 'acknowledged', waitedMs: 8 }),
+  line(320, 'h1', 'leadership.host-stopped', { group: 'g', epoch: 1, peer: 'h2', because: 'acknowledged', waitedMs: 8 }),
   line(400, 'h1', 'failover.started', { group: 'other', reason: 'draining', primary: 'x', epoch: 1 }),
   line(450 + CLOCK_OFFSET_MS, 'h2', 'request.failed', {
     id: 'r7', type: 'data', group: 'g', outcome: 'busy', reason: 'no primary is known; retry after 300 ms', ms: 140
@@ -37,7 +37,7 @@
     const { lines, offsets } = traceRequest(entries, 'r7')
     expect(offsets.get('h2')).toEqual(-CLOCK_OFFSET_MS)
     expect(lines.map(({ entry }) => entry.event)).toEqual([
-      'upstream.unreachable', 'failover.started', 'leadership.closing', 'leadership.host-closed', 'request.failed'
+      'upstream.unreachable', 'failover.started', 'leadership.closing', 'leadership.host-stopped', 'request.failed'
     ])
   })
 
