--- a/deploy/start.cjs
+++ b/deploy/start.cjs
@@ -7,6 +7,6 @@
 const compiled = compiledFileOf(bundle)
 const script = readBundle(bundle, existsSync(compiled) ? readFileSync(compiled) : undefined)
 if (script.cachedDataRejected !== false) {
-  process.stderr.write('level=warn event=process.compiled-anew reason="another runtime or other options than when it was built"\n')
+  process.stderr.write('level=warn event=process.code-cache-rejected reason="another runtime or other options than when it was built"\n')
 }
 runBundle(script, bundle)
--- a/src/core/logger/events.ts
+++ b/src/core/logger/events.ts
@@ -63,7 +63,7 @@
   'operator.promote': { level: 'info', pairs: 'group, upstream, operator', when: 'an operator asks for another primary' },
   'peer.link-error': { level: 'warn', pairs: 'peer, reason', when: 'a link broke, or garbage came' },
   'peer.refused': { level: 'warn', pairs: 'peer, reason', when: 'a peer does not know the key' },
-  'process.compiled-anew': { level: 'warn', pairs: 'reason', when: 'the code compiled at the build does not fit this runtime; a start takes a tenth longer' },
+  'process.code-cache-rejected': { level: 'warn', pairs: 'reason', when: 'the code compiled at the build does not fit this runtime; a start takes a tenth longer' },
   'process.crashed': { level: 'error', pairs: 'reason, stack', when: 'the process ends by an error that nobody expected' },
   'process.reload': { level: 'info', pairs: 'applied, atNextStart', when: 'the settings were read again: what applies at once, and what does not' },
   'process.reload-refused': { level: 'error', pairs: 'file, reason', when: 'the settings have a mistake; those before stay in force' },
--- a/test/deploy/bundle.test.ts
+++ b/test/deploy/bundle.test.ts
@@ -27,6 +27,6 @@
   it('ignores the code cache under different Node.js options and logs a warning', async () => {
     const { stdout, stderr } = await run(process.execPath, ['--stack-size=900', 'deploy/start.cjs', '--version'], { cwd: ROOT })
     expect(stdout).toMatchRegex(/^worksward-entry\//)
-    expect(stderr).toMatchRegex(/event=process\.compiled-anew/)
+    expect(stderr).toMatchRegex(/event=process\.code-cache-rejected/)
   })
 })
