--- a/src/entry/freshness/group-freshness.ts
+++ b/src/entry/freshness/group-freshness.ts
@@ -17,7 +17,7 @@
 
 /** Position that covers everything acknowledged before a time. */
 interface PositionProof {
-  /** When the request to the primary was sent, on the steady clock, in milliseconds. */
+  /** When the request to the primary was sent, on the monotonic clock, in milliseconds. */
   sentAt: number
   position: LogPosition
 }
@@ -28,14 +28,14 @@
    * Records an answer of the primary.
    *
    * @param epoch - epoch of the lease on the primary under which the request was sent
-   * @param sentAt - when the request was sent, on the steady clock
+   * @param sentAt - when the request was sent, on the monotonic clock
    * @param position - log position in the answer
    */
   record: (epoch: number, sentAt: number, position: LogPosition) => void
   /**
    * Returns the position that an upstream must have reached for a read.
    *
-   * @param since - time before which every acknowledged write must be visible, on the steady clock
+   * @param since - time before which every acknowledged write must be visible, on the monotonic clock
    * @param sessionFloor - position of the last write of the session
    * @returns the position, or undefined if no proof is recent enough and only the primary can serve the read
    */
--- a/src/entry/freshness/proof-exchange.ts
+++ b/src/entry/freshness/proof-exchange.ts
@@ -35,7 +35,7 @@
    * requests.
    *
    * @param group - the group
-   * @param since - time before which every acknowledged write must be visible, on the steady clock
+   * @param since - time before which every acknowledged write must be visible, on the monotonic clock
    * @param homes - homes of the primary, which can obtain a proof
    * @returns whether a proof is recent enough
    */
--- a/src/entry/leadership/close-epoch.ts
+++ b/src/entry/leadership/close-epoch.ts
@@ -23,7 +23,7 @@
   registry: Registry
   peers: Peers
   logger: Logger
-  /** Time from which no host could confirm a lease in this epoch, on the steady clock. */
+  /** Time from which no host could confirm a lease in this epoch, on the monotonic clock. */
   closedAt: number
 }
 
--- a/src/entry/leadership/failover.ts
+++ b/src/entry/leadership/failover.ts
@@ -29,7 +29,7 @@
   reason: FailoverReason
   /** Epoch whose primary is to be replaced; the failover does nothing if another epoch is current. */
   epoch: number
-  /** When this host first saw that the epoch is closed, on the steady clock; undefined if it is open. */
+  /** When this host first saw that the epoch is closed, on the monotonic clock; undefined if it is open. */
   closedSince?: number
   /** Stops the work of this host at the primary of an epoch. */
   closeLocally: (epoch: number) => Promise<void>
--- a/src/entry/leadership/primary-leases.ts
+++ b/src/entry/leadership/primary-leases.ts
@@ -13,7 +13,7 @@
 export interface PrimaryLeases {
   /** Returns the current lease, if any; it must be checked again right before each statement is sent. */
   leaseOf: (group: string) => PrimaryLease | undefined
-  /** Records that peers have extended the leases; `askedAt` is when they were asked, on the steady clock. */
+  /** Records that peers have extended the leases; `askedAt` is when they were asked, on the monotonic clock. */
   recordExtension: (askedAt: number) => void
   /** Time since the leases were last confirmed or extended, in milliseconds. */
   ageMs: () => number
--- a/src/entry/leadership/promote.ts
+++ b/src/entry/leadership/promote.ts
@@ -35,7 +35,7 @@
  * @param options - the group and the services
  * @param candidates - upstreams of the group that answered, and their reports
  * @param closed - row of the group as this failover has closed it
- * @param closedAt - when the epoch was certainly closed, on the steady clock
+ * @param closedAt - when the epoch was certainly closed, on the monotonic clock
  * @returns the new primary, or undefined if no promotion took effect
  */
 export async function promoteSuccessor (
--- a/src/entry/leadership/silent-leases.ts
+++ b/src/entry/leadership/silent-leases.ts
@@ -18,7 +18,7 @@
   hosts: number
   /** Number of hosts that are not known to have stopped. */
   silent: number
-  /** Time of the last stop that was needed for few hosts to be silent, on the steady clock, in milliseconds. */
+  /** Time of the last stop that was needed for few hosts to be silent, on the monotonic clock, in milliseconds. */
   lastStoppedAt: number
 }
 
@@ -36,8 +36,8 @@
  * Returns the time at which the leases of silent hosts have expired.
  *
  * @param progress - state of the hosts
- * @param closedAt - time from which no host could confirm a lease in the epoch, on the steady clock
- * @returns the time on the steady clock, in milliseconds
+ * @param closedAt - time from which no host could confirm a lease in the epoch, on the monotonic clock
+ * @returns the time on the monotonic clock, in milliseconds
  */
 export function silentLeasesExpireAt ({ hosts, silent, lastStoppedAt }: ClosingProgress, closedAt: number): number {
   return areFewSilent({ hosts, silent })
