--- a/src/entry/freshness/group-freshness.ts
+++ b/src/entry/freshness/group-freshness.ts
@@ -10,7 +10,7 @@
 /** Age beyond which proofs are dropped, in milliseconds; longer than any age that routes accept. */
 const RETENTION_MS = 10_000
 /** Minimum time between two stored proofs, in milliseconds. */
-const MIN_SPACING_MS = 20
+const MINIMUM_SPACING_MS = 20
 
 /** Maximum number of proofs in an answer to a peer, and the minimum time between them, in milliseconds. */
 const SHARED_PROOFS = { count: 12, spacingMs: 250 } as const
@@ -63,7 +63,8 @@
       index--
     }
     const [secondLast, last] = [proofs[index - 2], proofs[index - 1]]
-    const tooClose = secondLast !== undefined && last !== undefined && last.sentAt - secondLast.sentAt < MIN_SPACING_MS
+    const tooClose = secondLast !== undefined && last !== undefined &&
+      last.sentAt - secondLast.sentAt < MINIMUM_SPACING_MS
     if (tooClose && index === proofs.length && comparePositions(proof.position, last.position) >= 0) {
       proofs[index - 1] = proof
     } else {
--- a/src/entry/homes/home-watch.ts
+++ b/src/entry/homes/home-watch.ts
@@ -29,7 +29,7 @@
  * Number of silent homes from which on all others are probed, and the least time between two such rounds, in
  * milliseconds. A single silent home is more likely stopped or paused than cut off by a partition.
  */
-export const PROBE_ALL = { silentHomes: 2, minIntervalMs: 1000 } as const
+export const PROBE_ALL = { silentHomes: 2, minimumIntervalMs: 1000 } as const
 
 /** Options of {@link createHomeFailureDetector}. */
 interface FailureDetectorOptions {
@@ -147,7 +147,7 @@
     onSilent: () => {
       const known = homes()
       const silent = known.filter(selector.isSilent)
-      if (silent.length < PROBE_ALL.silentHomes || performance.now() - startedAt < PROBE_ALL.minIntervalMs) {
+      if (silent.length < PROBE_ALL.silentHomes || performance.now() - startedAt < PROBE_ALL.minimumIntervalMs) {
         return
       }
       startedAt = performance.now()
--- a/src/entry/leadership/group-need.ts
+++ b/src/entry/leadership/group-need.ts
@@ -61,7 +61,7 @@
 }
 
 /** Minimum time for which a need must persist before any host acts, in milliseconds. */
-const MIN_PERSISTENCE_MS: Partial<Record<GroupNeed, number>> = {
+const MINIMUM_PERSISTENCE_MS: Partial<Record<GroupNeed, number>> = {
   // The row of a new primary is updated after its promotion, possibly with a delay.
   deposed: 1500
 }
@@ -85,6 +85,6 @@
     return need === 'unreachable' && !homes.includes(name) ? `others ${hash}` : hash
   }
   const ownKey = sortKey(self.name)
-  return (MIN_PERSISTENCE_MS[need] ?? 0) +
+  return (MINIMUM_PERSISTENCE_MS[need] ?? 0) +
     STAGGER_MS * current.liveHosts.filter(({ name }) => sortKey(name) < ownKey).length
 }
--- a/src/entry/leadership/promote.ts
+++ b/src/entry/leadership/promote.ts
@@ -12,7 +12,7 @@
 import type { PromotionLease } from './promotion-lease.ts'
 
 /** Attempts to order a promotion while answers are lost; the first may have used a dead connection. */
-const MAX_ORDER_ATTEMPTS = 2
+const MAXIMUM_ORDER_ATTEMPTS = 2
 /** Timeout for a promotion to take effect, in milliseconds. */
 const EFFECT_TIMEOUT_MS = 2500
 
@@ -71,7 +71,7 @@
   options: PromoteOptions, candidate: Candidate, failoverId: string, closedTerm: number
 ): Promise<Candidate | undefined> {
   const findClaim = watchPrimaryClaim(options, candidate, closedTerm)
-  for (let attempt = 1; attempt <= MAX_ORDER_ATTEMPTS; attempt++) {
+  for (let attempt = 1; attempt <= MAXIMUM_ORDER_ATTEMPTS; attempt++) {
     const outcome = await orderPromotion(options, candidate, failoverId)
     if (outcome === 'not-running' || (outcome === 'not-ordered' && attempt === 1)) {
       return undefined
--- a/src/entry/leadership/recovery-estimates.ts
+++ b/src/entry/leadership/recovery-estimates.ts
@@ -8,11 +8,11 @@
 /** Weight of the latest recovery in the running mean. */
 const SAMPLE_WEIGHT = 0.5
 /** Minimum estimate while a group has no primary, in milliseconds: one step of a failover. */
-const MIN_ESTIMATE_MS = 150
+const MINIMUM_ESTIMATE_MS = 150
 /** Maximum estimate, in milliseconds, so that callers retry soon after the recovery. */
-const MAX_ESTIMATE_MS = 2000
+const MAXIMUM_ESTIMATE_MS = 2000
 /** Maximum duration of a recovery that enters the mean, in milliseconds; longer ones are outliers. */
-const MAX_SAMPLE_MS = 5000
+const MAXIMUM_SAMPLE_MS = 5000
 
 /** Estimates of when groups will have a primary again. */
 export interface RecoveryEstimates {
@@ -40,7 +40,7 @@
       const since = lostAt.get(group)
       lostAt.delete(group)
       const tookMs = since === undefined ? Infinity : performance.now() - since
-      if (tookMs <= MAX_SAMPLE_MS) {
+      if (tookMs <= MAXIMUM_SAMPLE_MS) {
         meanMs += SAMPLE_WEIGHT * (tookMs - meanMs)
       }
     },
@@ -52,7 +52,7 @@
       }
       // An overdue recovery is expected to take as long again as it is overdue, so that requests stop waiting for it.
       const remainingMs = Math.abs(meanMs - (performance.now() - since))
-      return Math.min(MAX_ESTIMATE_MS, Math.max(MIN_ESTIMATE_MS, remainingMs))
+      return Math.min(MAXIMUM_ESTIMATE_MS, Math.max(MINIMUM_ESTIMATE_MS, remainingMs))
     }
   }
 }
--- a/src/entry/leadership/silent-leases.ts
+++ b/src/entry/leadership/silent-leases.ts
@@ -1,8 +1,8 @@
 /**
- * Decides how long a failover waits for hosts that do not answer. Once at most {@link MAX_SILENT_FRACTION} of the hosts
- * are silent, no majority can extend their leases, which expire PRIMARY_LEASE_MS after the stop that left so few. Until
- * then only the maximum age of a confirmation is a bound: EXTENDED_LEASE_MS after the closing. LEASE_MARGIN_MS is added
- * to either.
+ * Decides how long a failover waits for hosts that do not answer. Once at most {@link MAXIMUM_SILENT_FRACTION} of the
+ * hosts are silent, no majority can extend their leases, which expire PRIMARY_LEASE_MS after the stop that left so few.
+ * Until then only the maximum age of a confirmation is a bound: EXTENDED_LEASE_MS after the closing. LEASE_MARGIN_MS is
+ * added to either.
  */
 import { EXTENDED_LEASE_MS, LEASE_MARGIN_MS, PRIMARY_LEASE_MS } from '../registry/lease-times.ts'
 
@@ -10,7 +10,7 @@
  * Maximum fraction of silent hosts at which a promoter can rely on leases not being extended. It is below any majority
  * that could grant an extension, even if a host knows only half of the others.
  */
-const MAX_SILENT_FRACTION = 0.25
+const MAXIMUM_SILENT_FRACTION = 0.25
 
 /** State of the hosts while a failover waits for them to stop. */
 export interface ClosingProgress {
@@ -26,10 +26,10 @@
  * Whether so few hosts are silent that no majority can extend their leases.
  *
  * @param progress - number of hosts, and of those that are silent
- * @returns whether at most {@link MAX_SILENT_FRACTION} of them are silent
+ * @returns whether at most {@link MAXIMUM_SILENT_FRACTION} of them are silent
  */
 export function areFewSilent ({ hosts, silent }: Pick<ClosingProgress, 'hosts' | 'silent'>): boolean {
-  return silent <= hosts * MAX_SILENT_FRACTION
+  return silent <= hosts * MAXIMUM_SILENT_FRACTION
 }
 
 /**
--- a/src/entry/leadership/suspicion.ts
+++ b/src/entry/leadership/suspicion.ts
@@ -5,10 +5,10 @@
 import { PROBE_TIMEOUT_MS } from './probe-times.ts'
 
 /** Minimum time between two probes of an upstream, in milliseconds. */
-const MIN_PROBE_INTERVAL_MS = 250
+const MINIMUM_PROBE_INTERVAL_MS = 250
 
 /**
- * Creates a function that probes an upstream at most once in {@link MIN_PROBE_INTERVAL_MS}.
+ * Creates a function that probes an upstream at most once in {@link MINIMUM_PROBE_INTERVAL_MS}.
  *
  * @param directory - the upstreams
  * @param pools - the connections to probe them on
@@ -24,7 +24,7 @@
       return
     }
     recentlyProbed.add(name)
-    void Promise.all([pools.probe(upstream, PROBE_TIMEOUT_MS), pause(MIN_PROBE_INTERVAL_MS)])
+    void Promise.all([pools.probe(upstream, PROBE_TIMEOUT_MS), pause(MINIMUM_PROBE_INTERVAL_MS)])
       .finally(() => recentlyProbed.delete(name))
   }
 }
--- a/src/entry/limits/granted-metric.ts
+++ b/src/entry/limits/granted-metric.ts
@@ -2,7 +2,7 @@
 import type { OwnedLimit } from './limit-owner.ts'
 
 /** Number of organisations that have a series of their own. */
-const MAX_NAMED_ORGANISATIONS = 10
+const MAXIMUM_NAMED_ORGANISATIONS = 10
 
 /**
  * Computes the values of the metric.
@@ -13,6 +13,6 @@
 export function grantedByOrganisation (owned: ReadonlyMap<string, OwnedLimit>): Record<string, number> {
   const sorted = [...owned].map(([name, { granted }]) => [name, granted] as const)
     .sort(([, left], [, right]) => right - left)
-  const others = sorted.slice(MAX_NAMED_ORGANISATIONS).reduce((sum, [, granted]) => sum + granted, 0)
-  return { ...Object.fromEntries(sorted.slice(0, MAX_NAMED_ORGANISATIONS)), others }
+  const others = sorted.slice(MAXIMUM_NAMED_ORGANISATIONS).reduce((sum, [, granted]) => sum + granted, 0)
+  return { ...Object.fromEntries(sorted.slice(0, MAXIMUM_NAMED_ORGANISATIONS)), others }
 }
--- a/src/entry/limits/limit-questions.ts
+++ b/src/entry/limits/limit-questions.ts
@@ -16,7 +16,7 @@
 /** Time that an owner has to answer, in milliseconds. */
 const OWNER_TIMEOUT_MS = 200
 /** Number of hosts tried for one grant; each silent one delays the caller by {@link OWNER_TIMEOUT_MS}. */
-const MAX_OWNER_ATTEMPTS = 2
+const MAXIMUM_OWNER_ATTEMPTS = 2
 /**
  * Time that an owner waits for the requester's version of the desired state, in milliseconds. Also the retry time for
  * an organisation that is unknown here.
@@ -87,7 +87,7 @@
     }
   }
   return async (organisation, wanted) => {
-    for (let attempt = 0; attempt < MAX_OWNER_ATTEMPTS; attempt++) {
+    for (let attempt = 0; attempt < MAXIMUM_OWNER_ATTEMPTS; attempt++) {
       const host = homes.firstResponsive(orderOf(organisation))
       const answer = host && await requestFromHost(host, organisation, wanted)
       if (answer !== undefined) {
--- a/src/entry/limits/organisation-grants.ts
+++ b/src/entry/limits/organisation-grants.ts
@@ -15,7 +15,7 @@
  * Longest time for which a host refuses operations without asking the owner again, in milliseconds. It bounds both the
  * delay until callers are served again and the requests to the owner under overload.
  */
-export const MAX_LOCAL_REFUSAL_MS = 400
+export const MAXIMUM_LOCAL_REFUSAL_MS = 400
 /** Retry time when no owner answered, in milliseconds; by then another host is asked. */
 const NO_ANSWER_RETRY_MS = 300
 
@@ -117,7 +117,7 @@
   grants.usableUntil = now + PREFETCH_MS
   // When the request was granted in full, operations that arrived since then are requested next, not refused.
   const isRefused = granted < wanted && grants.left < waiting
-  grants.refusedUntil = isRefused ? now + Math.min(MAX_LOCAL_REFUSAL_MS, retryAfterMs) : -Infinity
+  grants.refusedUntil = isRefused ? now + Math.min(MAXIMUM_LOCAL_REFUSAL_MS, retryAfterMs) : -Infinity
   grants.retryAt = now + retryAfterMs
   grants.lastAnswer = answer
 }
--- a/src/entry/limits/recent-requesters.ts
+++ b/src/entry/limits/recent-requesters.ts
@@ -11,7 +11,7 @@
  * between two rounds of probes, in milliseconds. Hosts whose operations are refused send the next request earlier than
  * `afterMs`.
  */
-const SILENT_REQUESTERS = { afterMs: 700, forgottenAfterMs: 10_000, minIntervalMs: 500 } as const
+const SILENT_REQUESTERS = { afterMs: 700, forgottenAfterMs: 10_000, minimumIntervalMs: 500 } as const
 
 /** Options of {@link createRecentRequesters}. */
 interface RecentRequestersOptions {
@@ -45,7 +45,7 @@
     isRecent: (host) => silenceOf(host) <= SILENT_REQUESTERS.afterMs,
     probeSilent: (hosts) => {
       const now = performance.now()
-      if (now - probedAt < SILENT_REQUESTERS.minIntervalMs) {
+      if (now - probedAt < SILENT_REQUESTERS.minimumIntervalMs) {
         return
       }
       probedAt = now
--- a/src/entry/limits/token-bucket.ts
+++ b/src/entry/limits/token-bucket.ts
@@ -7,7 +7,7 @@
 import type { BucketParameters } from './bucket-parameters.ts'
 
 /** Longest retry time given to callers, in milliseconds; bounded since the limit may be raised in the meantime. */
-const MAX_RETRY_AFTER_MS = 2000
+const MAXIMUM_RETRY_AFTER_MS = 2000
 
 /** Answer to a request for operations. */
 export interface Grant {
@@ -55,10 +55,10 @@
   }
   const reserveRetry = (remaining: number, perSecond: number, missing: number): number => {
     const now = performance.now()
-    const intervalMs = perSecond > 0 ? SECOND_MS / perSecond : MAX_RETRY_AFTER_MS
+    const intervalMs = perSecond > 0 ? SECOND_MS / perSecond : MAXIMUM_RETRY_AFTER_MS
     reservedUntil = Math.max(reservedUntil, now + Math.max(0, 1 - remaining) * intervalMs)
-    const retryAfterMs = Math.min(MAX_RETRY_AFTER_MS, Math.ceil(reservedUntil - now))
-    reservedUntil = Math.min(now + MAX_RETRY_AFTER_MS, reservedUntil + missing * intervalMs)
+    const retryAfterMs = Math.min(MAXIMUM_RETRY_AFTER_MS, Math.ceil(reservedUntil - now))
+    reservedUntil = Math.min(now + MAXIMUM_RETRY_AFTER_MS, reservedUntil + missing * intervalMs)
     return Math.max(1, retryAfterMs)
   }
   return {
--- a/src/entry/registry/follow-table.ts
+++ b/src/entry/registry/follow-table.ts
@@ -25,7 +25,7 @@
  * Bounds of the pause after a failure, in milliseconds. Rejected calls to the store are charged too, and two of the
  * longest pauses must fit into the time that a host may take to recover from an outage.
  */
-const RETRY_MS = { min: 150, max: 1200 } as const
+const RETRY_MS = { minimum: 150, maximum: 1200 } as const
 /** Time within which this host's own request must return a change after a peer's notification, in milliseconds. */
 const CHANGE_GRACE_MS = 250
 /**
@@ -120,7 +120,7 @@
   }, (thrown) => {
     followed.invalidate()
     failures.failed(thrown)
-  }, RETRY_MS.min, RETRY_MS.max)
+  }, RETRY_MS.minimum, RETRY_MS.maximum)
   return () => {
     stop()
     reads.interrupt()
--- a/src/entry/registry/readers.ts
+++ b/src/entry/registry/readers.ts
@@ -12,7 +12,7 @@
  * Minimum number of hosts that follow the tables of the store. A long poll may hang on a silent connection; with this
  * many followers, very likely at least one receives a change and notifies the others.
  */
-export const MIN_FOLLOWERS = 8
+export const MINIMUM_FOLLOWERS = 8
 
 /** Orders from which readers and followers are selected. */
 interface ReaderOrders {
@@ -66,7 +66,8 @@
  * @returns the followers
  */
 export function followersOf (hosts: KnownHost[]): KnownHost[] {
-  return selectFirst(hosts, Math.min(hosts.length, Math.max(MIN_FOLLOWERS, Math.ceil(hosts.length / HOSTS_PER_READER))))
+  return selectFirst(
+    hosts, Math.min(hosts.length, Math.max(MINIMUM_FOLLOWERS, Math.ceil(hosts.length / HOSTS_PER_READER))))
 }
 
 /**
--- a/src/entry/registry/registry-store.ts
+++ b/src/entry/registry/registry-store.ts
@@ -12,12 +12,12 @@
 import { REGISTRY_TABLE } from './types.ts'
 
 /** Maximum age of this host's last read for which peers may rely on its snapshot, in milliseconds: two reads. */
-const MAX_READ_AGE_MS = 1600
+const MAXIMUM_READ_AGE_MS = 1600
 /**
  * Bounds of a write's timeout, in milliseconds, and its multiple of the last read's duration. After a timeout the table
  * is read to find out whether the write was applied, which is faster than to wait longer.
  */
-const WRITE_TIMEOUT_MS = { min: 300, perRead: 5, max: 1500 } as const
+const WRITE_TIMEOUT_MS = { minimum: 300, perRead: 5, maximum: 1500 } as const
 
 interface RegistryStoreOptions {
   store: Pick<StorePort, 'list' | 'write'>
@@ -41,7 +41,7 @@
  * @returns the timeout, in milliseconds
  */
 export function writeTimeoutMs (readMs: number): number {
-  return Math.min(WRITE_TIMEOUT_MS.max, WRITE_TIMEOUT_MS.min + WRITE_TIMEOUT_MS.perRead * readMs)
+  return Math.min(WRITE_TIMEOUT_MS.maximum, WRITE_TIMEOUT_MS.minimum + WRITE_TIMEOUT_MS.perRead * readMs)
 }
 
 /**
@@ -54,7 +54,7 @@
   const unavailableListeners: Array<() => void> = []
   let isAvailable = true
   /** Bounds of the offset from the monotonic clock to the store's clock, in milliseconds. */
-  let clockOffsets = { min: 0, max: 0 }
+  let clockOffsets = { minimum: 0, maximum: 0 }
   /** Duration of the last read, in milliseconds. */
   let readMs = 0
   /** Time of the last successful read, on the monotonic clock. */
@@ -80,7 +80,7 @@
       const { rows, version, nowMs } = await store.list(REGISTRY_TABLE)
       lastReadAt = performance.now()
       readMs = lastReadAt - askedAt
-      clockOffsets = { min: nowMs - performance.now(), max: nowMs - askedAt }
+      clockOffsets = { minimum: nowMs - performance.now(), maximum: nowMs - askedAt }
       recordAvailability(true)
       state.accept(createSnapshot(rows, version, askedAt, state.current))
       return true
@@ -109,9 +109,9 @@
   return {
     refresh,
     write,
-    isReading: () => isAvailable && performance.now() - lastReadAt < MAX_READ_AGE_MS,
+    isReading: () => isAvailable && performance.now() - lastReadAt < MAXIMUM_READ_AGE_MS,
     onStoreUnavailable: (listener) => { unavailableListeners.push(listener) },
-    storeNowAtLeastMs: () => performance.now() + clockOffsets.min,
-    storeNowAtMostMs: () => performance.now() + clockOffsets.max
+    storeNowAtLeastMs: () => performance.now() + clockOffsets.minimum,
+    storeNowAtMostMs: () => performance.now() + clockOffsets.maximum
   }
 }
--- a/src/entry/registry/snapshot-refresh.ts
+++ b/src/entry/registry/snapshot-refresh.ts
@@ -15,11 +15,11 @@
 /** Pause between requests to a reader, in milliseconds. */
 const REQUEST_PAUSE_MS = 150
 /** Maximum age of the snapshot for which a reader may hold the request, in milliseconds. */
-const MAX_LONG_POLL_AGE_MS = 1000
+const MAXIMUM_LONG_POLL_AGE_MS = 1000
 /** Pause after no host had a fresh snapshot, in milliseconds; lets a backup reader start to read. */
 const FAILURE_PAUSE_MS = 300
 /** Maximum age of a relayed snapshot, in milliseconds; for an older one the next host is tried. */
-const MAX_RELAYED_AGE_MS = 1900
+const MAXIMUM_RELAYED_AGE_MS = 1900
 /** Hosts tried in one turn; all of their timeouts must fit into a lease. */
 const READERS_PER_TURN = 3
 /**
@@ -56,7 +56,7 @@
   const isReader = (): boolean => readersOf(current().liveHosts).some((reader) => reader.name === name)
   const isFollower = (): boolean => followersOf(current().liveHosts).some((follower) => follower.name === name)
   const ageMs = (): number => performance.now() - current().askedAt
-  const isFresh = (): boolean => ageMs() < MAX_RELAYED_AGE_MS && confirmedAgeMs() < MAX_RELAYED_AGE_MS
+  const isFresh = (): boolean => ageMs() < MAXIMUM_RELAYED_AGE_MS && confirmedAgeMs() < MAXIMUM_RELAYED_AGE_MS
   let lastStoreReadAt = -Infinity
   let isRejected = false
   /** Hosts to try in this turn; those that failed recently come last. */
@@ -67,7 +67,7 @@
       return false
     }
     for (const source of sources()) {
-      if (await exchange.requestFromReader(source, ageMs() < MAX_LONG_POLL_AGE_MS) && isFresh()) {
+      if (await exchange.requestFromReader(source, ageMs() < MAXIMUM_LONG_POLL_AGE_MS) && isFresh()) {
         return true
       }
       recentFailures.record(source)
--- a/src/entry/registry/table-answers.ts
+++ b/src/entry/registry/table-answers.ts
@@ -11,9 +11,9 @@
 /** Time that a follower has to respond beyond the long poll, in milliseconds; covers a full read of the store. */
 export const RESPONSE_TIMEOUT_MS = 400
 /** Maximum age of a full read that serves a request for a fresh one, in milliseconds; lets requests share a read. */
-const MAX_FRESH_AGE_MS = 300
+const MAXIMUM_FRESH_AGE_MS = 300
 /** Maximum age of this host's registry snapshot, in milliseconds; with an older one the host may be cut off. */
-const MAX_REGISTRY_AGE_MS = 2500
+const MAXIMUM_REGISTRY_AGE_MS = 2500
 
 export interface ServedTable {
   copy: TableCopy
@@ -42,7 +42,7 @@
     serve: (table, served) => { tables.set(table, served) },
     respond: async ({ table, after, anew = false }) => {
       const served = tables.get(table)
-      if (served === undefined || registryAgeMs() >= MAX_REGISTRY_AGE_MS) {
+      if (served === undefined || registryAgeMs() >= MAXIMUM_REGISTRY_AGE_MS) {
         return { changes: undefined }
       }
       return { changes: anew ? await waitForFreshRead(served) : await waitForChanges(served, after) }
@@ -53,7 +53,7 @@
 async function waitForFreshRead (
   { copy, requestFreshRead, isFollowing }: ServedTable
 ): Promise<TableChanges | undefined> {
-  const since = performance.now() - MAX_FRESH_AGE_MS
+  const since = performance.now() - MAXIMUM_FRESH_AGE_MS
   if (copy.fullReadAt < since) {
     if (!isFollowing()) {
       return undefined
--- a/src/entry/registry/table-copy.ts
+++ b/src/entry/registry/table-copy.ts
@@ -47,7 +47,7 @@
 }
 
 /** Number of removals that are kept; a requester with an older version receives all rows. */
-const MAX_REMOVALS = 200
+const MAXIMUM_REMOVALS = 200
 
 /**
  * Creates an empty copy.
@@ -99,7 +99,7 @@
         rows.delete(key)
         removals.push({ key, version: newVersion })
       })
-      const dropped = removals.splice(0, Math.max(0, removals.length - MAX_REMOVALS))
+      const dropped = removals.splice(0, Math.max(0, removals.length - MAXIMUM_REMOVALS))
       removalsFrom = Math.max(removalsFrom, ...dropped.map((removal) => removal.version))
       version = newVersion
       waiters.notify()
--- a/src/entry/registry/table-questions.ts
+++ b/src/entry/registry/table-questions.ts
@@ -1,6 +1,6 @@
 /**
  * Requests a table of the store from the hosts that follow it. Hosts that failed recently are tried last. The first
- * response of a sufficient version is accepted, and the search ends after {@link MAX_TIMEOUTS} timeouts.
+ * response of a sufficient version is accepted, and the search ends after {@link MAXIMUM_TIMEOUTS} timeouts.
  */
 import { describeThrown } from '../../core/errors/index.ts'
 import type { Logger } from '../../core/logger/index.ts'
@@ -17,7 +17,7 @@
  */
 const FIRST_RESPONSE_MS = 40
 /** Number of timeouts permitted in one turn. */
-const MAX_TIMEOUTS = 2
+const MAXIMUM_TIMEOUTS = 2
 
 interface TableClientOptions {
   peers: Pick<Peers, 'request' | 'ask'>
@@ -82,7 +82,7 @@
     tableRequest: TableRequest, timeoutMs: number, atLeast: number
   ): Promise<TableChanges | undefined> => {
     const isFirst = tableRequest.after === undefined && tableRequest.anew !== true
-    let timeoutsLeft = isFirst ? 1 : MAX_TIMEOUTS
+    let timeoutsLeft = isFirst ? 1 : MAXIMUM_TIMEOUTS
     for (const host of recentFailures.sortFailedLast(followers())) {
       const response = await requestFromHost(host, tableRequest, timeoutMs)
       if (response?.changes !== undefined && isRecentEnough(host.name, tableRequest.table, response.changes, atLeast)) {
--- a/src/mysql-proxy/callers/index.ts
+++ b/src/mysql-proxy/callers/index.ts
@@ -27,7 +27,7 @@
 }
 
 /** Maximum length of a command, in bytes, independent of the limits of groups. */
-const MAX_COMMAND_BYTES = 16_000_000
+const MAXIMUM_COMMAND_BYTES = 16_000_000
 /** Interval at which draining checks for idle callers, in milliseconds. */
 const DRAIN_POLL_INTERVAL_MS = 10
 
@@ -55,7 +55,7 @@
     const server = await listenMysql({
       address: settings.host.address,
       port: settings.listen.callers,
-      statementBytes: MAX_COMMAND_BYTES,
+      statementBytes: MAXIMUM_COMMAND_BYTES,
       findPasswordHash: (user, database) => {
         const hash = configuration.group(database)?.services[user]?.passwordHash
         return hash === undefined ? undefined : Buffer.from(hash, 'hex')
--- a/src/mysql-proxy/failover/when-to-act.ts
+++ b/src/mysql-proxy/failover/when-to-act.ts
@@ -9,7 +9,7 @@
 /** Full rounds of probes after which an unfinished election counts as stalled. */
 const STALLED_ROUNDS = 15
 /** Maximum random increase of the delay, as a fraction of it. */
-const MAX_JITTER = 0.5
+const MAXIMUM_JITTER = 0.5
 
 /** State of a primary that decides whether an election is needed. */
 interface PrimaryState {
@@ -69,7 +69,7 @@
  * @returns the delay, in milliseconds
  */
 export function computeElectionDelay (rank: number, staggerMs: number, random: number): number {
-  return rank * staggerMs * (1 + random * MAX_JITTER)
+  return rank * staggerMs * (1 + random * MAXIMUM_JITTER)
 }
 
 /**
--- a/src/mysql-proxy/membership/opinions.ts
+++ b/src/mysql-proxy/membership/opinions.ts
@@ -9,7 +9,7 @@
 import type { Heartbeat, Member } from './types.ts'
 
 /** Maximum number of changes in one heartbeat. */
-const MAX_CHANGES_PER_HEARTBEAT = 16
+const MAXIMUM_CHANGES_PER_HEARTBEAT = 16
 /** Number of heartbeats that carry each change. */
 const HEARTBEATS_PER_CHANGE = 6
 
@@ -108,7 +108,7 @@
       const changed: Member[] = []
       for (const [host, left] of heartbeatsLeft) {
         // Changes beyond the limit keep their count and wait for a later heartbeat.
-        if (changed.length === MAX_CHANGES_PER_HEARTBEAT) {
+        if (changed.length === MAXIMUM_CHANGES_PER_HEARTBEAT) {
           break
         }
         const member = host === self.host ? undefined : list.get(host)
--- a/src/mysql-proxy/routing/begin-transaction.ts
+++ b/src/mysql-proxy/routing/begin-transaction.ts
@@ -13,7 +13,7 @@
 /** Delay before a begin is retried, in milliseconds; leaves time for a new primary to be announced. */
 const BEGIN_RETRY_DELAY_MS = 20
 /** Least time left for a retry, in retry delays: one to wait and one for the begin itself. */
-const MIN_DELAYS_LEFT = 2
+const MINIMUM_DELAYS_LEFT = 2
 /** Priority of a begin in the connection queue. */
 const TRANSACTION_PRIORITY = 5
 
@@ -33,7 +33,7 @@
     try {
       return await beginOnce(group, transaction, deadline)
     } catch (thrown) {
-      if (!mayRetryBegin(thrown) || deadline.leftMs < BEGIN_RETRY_DELAY_MS * MIN_DELAYS_LEFT) {
+      if (!mayRetryBegin(thrown) || deadline.leftMs < BEGIN_RETRY_DELAY_MS * MINIMUM_DELAYS_LEFT) {
         throw thrown
       }
       await pause(BEGIN_RETRY_DELAY_MS)
--- a/src/mysql-proxy/routing/group-home.ts
+++ b/src/mysql-proxy/routing/group-home.ts
@@ -71,7 +71,7 @@
   const groupPools = createGroupPools(options)
   const pools = groupPools.byName
   const view = createHomeView(options, groupPools)
-  const transactions = createTransactions({ view, pools, maxOpenMs: () => state.group.limits.transactionMs })
+  const transactions = createTransactions({ view, pools, maximumOpenMs: () => state.group.limits.transactionMs })
   const sweeper = startLedgerSweeper({ view, pools, group })
   const spendRetry = (): boolean => {
     const isGranted = budget.tryWithdraw()
--- a/src/mysql-proxy/routing/transaction-table.ts
+++ b/src/mysql-proxy/routing/transaction-table.ts
@@ -54,10 +54,10 @@
 /**
  * Creates an empty transaction table.
  *
- * @param maxOpenMs - returns the longest time that a transaction may stay open, in milliseconds
+ * @param maximumOpenMs - returns the longest time that a transaction may stay open, in milliseconds
  * @returns the table
  */
-export function createTransactionTable (maxOpenMs: () => number): TransactionTable {
+export function createTransactionTable (maximumOpenMs: () => number): TransactionTable {
   const open = new Map<string, OpenTransaction>()
 
   const findOrThrow = (id: string): OpenTransaction => {
@@ -80,7 +80,7 @@
   return {
     get size () { return open.size },
     add: (id, { service, pinned, target }) => {
-      const expiry = setTimeout(() => end(id, false), maxOpenMs())
+      const expiry = setTimeout(() => end(id, false), maximumOpenMs())
       open.set(id, { service, pinned, target, statements: 0, isStepRunning: false, expiry })
     },
     get: (id) => open.get(id),
--- a/src/mysql-proxy/routing/transactions.ts
+++ b/src/mysql-proxy/routing/transactions.ts
@@ -17,7 +17,7 @@
   view: GroupView
   pools: Map<string, ConnectionPool>
   /** Returns the longest time that a transaction may stay open, in milliseconds. */
-  maxOpenMs: () => number
+  maximumOpenMs: () => number
 }
 
 /** Transactions of one group at one home. */
@@ -39,8 +39,8 @@
  * @param options - the group's view and connection pools, and the time limit of transactions
  * @returns the transaction handlers
  */
-export function createTransactions ({ view, pools, maxOpenMs }: TransactionsOptions): Transactions {
-  const table = createTransactionTable(maxOpenMs)
+export function createTransactions ({ view, pools, maximumOpenMs }: TransactionsOptions): Transactions {
+  const table = createTransactionTable(maximumOpenMs)
   const group: TransactionGroup = { view, pools, table }
   return {
     begin: async (id, service, deadline) => await beginTransaction(group, { id, service }, deadline),
--- a/src/mysql-proxy/upstreams/admission.ts
+++ b/src/mysql-proxy/upstreams/admission.ts
@@ -5,15 +5,15 @@
  */
 
 /** Upper bound of the retry delay sent to refused callers, in milliseconds. */
-const MAX_RETRY_AFTER_MS = 1000
+const MAXIMUM_RETRY_AFTER_MS = 1000
 /** Lower bound of the retry delay sent to refused callers, in milliseconds. */
-const MIN_RETRY_AFTER_MS = 1
+const MINIMUM_RETRY_AFTER_MS = 1
 /** Latency assumed until the first statement has completed, in milliseconds. */
 const DEFAULT_LATENCY_MS = 1
 /** Fraction of its remaining time that a request may spend in the queue. */
-const MAX_QUEUEING_FRACTION = 0.5
+const MAXIMUM_QUEUEING_FRACTION = 0.5
 /** Remaining time required to start a request, as a multiple of the mean latency. */
-const MIN_REMAINING_LATENCIES = 2
+const MINIMUM_REMAINING_LATENCIES = 2
 
 /** Latency and concurrency of a queue's statements, from which its queueing time is estimated. */
 interface QueueThroughput {
@@ -46,7 +46,7 @@
   if (waiting >= capacity) {
     return `${waiting} requests wait for ${upstream} already`
   }
-  if (waiting > 0 && expectedWaitMs(waiting, request) > remainingMs * MAX_QUEUEING_FRACTION) {
+  if (waiting > 0 && expectedWaitMs(waiting, request) > remainingMs * MAXIMUM_QUEUEING_FRACTION) {
     return `the queue for ${upstream} is too long for the deadline`
   }
   return undefined
@@ -60,7 +60,7 @@
  * @returns whether too little time remains
  */
 export function isTooLateToStart (remainingMs: number, meanMs: number): boolean {
-  return remainingMs < meanMs * MIN_REMAINING_LATENCIES
+  return remainingMs < meanMs * MINIMUM_REMAINING_LATENCIES
 }
 
 /**
@@ -72,7 +72,7 @@
  */
 export function retryAfterMs (waiting: number, throughput: QueueThroughput): number {
   const expectedMs = Math.ceil(expectedWaitMs(waiting + 1, throughput))
-  return Math.max(MIN_RETRY_AFTER_MS, Math.min(MAX_RETRY_AFTER_MS, expectedMs))
+  return Math.max(MINIMUM_RETRY_AFTER_MS, Math.min(MAXIMUM_RETRY_AFTER_MS, expectedMs))
 }
 
 function expectedWaitMs (waiting: number, { meanMs, concurrency }: QueueThroughput): number {
--- a/src/mysql-proxy/upstreams/concurrency-limit.ts
+++ b/src/mysql-proxy/upstreams/concurrency-limit.ts
@@ -16,7 +16,7 @@
 /** Age of the last sample, in milliseconds, from which the mean is stale and the next sample replaces it. */
 const MEAN_MAX_AGE_MS = 500
 /** Lower bound of the ratio of tolerated to mean latency, which bounds how fast the limit shrinks. */
-const MIN_GRADIENT = 0.5
+const MINIMUM_GRADIENT = 0.5
 
 /** Concurrency limit that adapts to the latency of statements. */
 interface ConcurrencyLimit {
@@ -84,7 +84,7 @@
       mean = isMeanStale() ? latencyMs : mean + SAMPLE_WEIGHT * (latencyMs - mean)
       lastSampleAt = performance.now()
       const tolerated = lowest * TOLERATED_LATENCY_RATIO + TIMER_RESOLUTION_MS
-      const gradient = Math.max(MIN_GRADIENT, Math.min(1, tolerated / mean))
+      const gradient = Math.max(MINIMUM_GRADIENT, Math.min(1, tolerated / mean))
       const target = limit * gradient + Math.sqrt(limit) * SAMPLE_WEIGHT
       limit = Math.max(1, Math.min(maximum(), limit + SAMPLE_WEIGHT * (target - limit)))
     }
--- a/src/mysql-proxy/upstreams/data-age.ts
+++ b/src/mysql-proxy/upstreams/data-age.ts
@@ -5,7 +5,7 @@
 import { comparePositions, meetsFloor, type LogPosition } from '../../positions/position.ts'
 
 /** Maximum number of recent primary probes kept for comparison. */
-const MAX_PROBES = 128
+const MAXIMUM_PROBES = 128
 
 /** Result of a probe of the primary. */
 interface PrimaryProbe {
@@ -57,7 +57,7 @@
         return
       }
       probes.push({ sentAt, end })
-      if (probes.length > MAX_PROBES) {
+      if (probes.length > MAXIMUM_PROBES) {
         probes.shift()
       }
       ends.forEach((_end, replica) => updateAge(replica))
--- a/src/placement/upstream-homes.ts
+++ b/src/placement/upstream-homes.ts
@@ -9,14 +9,14 @@
 import { byScore, hashInputOf } from './rendezvous.ts'
 
 /** Least number of connections per home. With fewer, some homes wait for one while others have idle ones. */
-const MIN_CONNECTIONS_PER_HOME = 8
+const MINIMUM_CONNECTIONS_PER_HOME = 8
 /**
  * Number of homes beyond one per slot, to compensate for a lost home. Each home keeps at least two statements in
  * progress, so more homes would send more than the upstream can run, and writes would queue there behind reads.
  */
 const SPARE_HOMES = 1
 /** Least number of homes of an upstream, so that one remains when another is lost. */
-const MIN_HOMES = 2
+const MINIMUM_HOMES = 2
 
 /** A host that can be a home. */
 export interface PlaceableHost {
@@ -33,7 +33,7 @@
 }
 
 /** Number of cached scores; the cache is cleared when it is full. */
-const MAX_CACHED_SCORES = 20_000
+const MAXIMUM_CACHED_SCORES = 20_000
 const scores = new Map<string, string>()
 
 /**
@@ -49,7 +49,7 @@
   if (known !== undefined) {
     return known
   }
-  if (scores.size >= MAX_CACHED_SCORES) {
+  if (scores.size >= MAXIMUM_CACHED_SCORES) {
     scores.clear()
   }
   const score = createHash('sha256').update(pair).digest('hex')
@@ -80,8 +80,8 @@
  * @returns the number of homes
  */
 export function countHomes (cap: number, slots: number, hosts: number): number {
-  const wanted = Math.min(slots + SPARE_HOMES, Math.floor(cap / MIN_CONNECTIONS_PER_HOME))
-  return Math.min(hosts, Math.max(MIN_HOMES, wanted))
+  const wanted = Math.min(slots + SPARE_HOMES, Math.floor(cap / MINIMUM_CONNECTIONS_PER_HOME))
+  return Math.min(hosts, Math.max(MINIMUM_HOMES, wanted))
 }
 
 /**
--- a/src/retries/retry-budget.ts
+++ b/src/retries/retry-budget.ts
@@ -1,14 +1,14 @@
 /**
  * Bounds retries to a fraction of the served statements, so that they cannot multiply an overload.
  *
- * Every {@link SERVED_PER_RETRY} served statements add one retry to a balance, up to {@link MAX_BALANCE}. Refused
+ * Every {@link SERVED_PER_RETRY} served statements add one retry to a balance, up to {@link MAXIMUM_BALANCE}. Refused
  * statements add nothing, since their number grows with the overload.
  */
 
 /** Number of served statements that add one retry to the balance. */
 const SERVED_PER_RETRY = 5
 /** Greatest balance, which is also the initial one, in retries. */
-const MAX_BALANCE = 100
+const MAXIMUM_BALANCE = 100
 
 /** Balance of retries. */
 export interface RetryBudget {
@@ -30,11 +30,11 @@
  * @returns the budget
  */
 export function createRetryBudget (): RetryBudget {
-  const maxServed = MAX_BALANCE * SERVED_PER_RETRY
+  const maximumServed = MAXIMUM_BALANCE * SERVED_PER_RETRY
   /** Served statements that were not yet exchanged for a retry. */
-  let served = maxServed
+  let served = maximumServed
   return {
-    deposit: () => { served = Math.min(maxServed, served + 1) },
+    deposit: () => { served = Math.min(maximumServed, served + 1) },
     tryWithdraw: () => {
       if (served < SERVED_PER_RETRY) {
         return false
--- a/test/entry/homes/home-watch.test.ts
+++ b/test/entry/homes/home-watch.test.ts
@@ -94,7 +94,7 @@
     expect(home.requests).toEqual(2 + answered.length)
     await clock.tickAsync(SUSPECT_AFTER_MS)
     expect(answered.filter((other) => home.selector.isSilent(other)).length).toEqual(answered.length)
-    await clock.tickAsync(DISCONNECT_AFTER_MS + PROBE_ALL.minIntervalMs)
+    await clock.tickAsync(DISCONNECT_AFTER_MS + PROBE_ALL.minimumIntervalMs)
     const before = home.requests
     home.selector.recordAnswer(third, '')
     void home.detector.isAlive(first)
--- a/test/entry/limits/prefetched-grants.test.ts
+++ b/test/entry/limits/prefetched-grants.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'earl'
 import fakeTimers, { type Clock } from '@sinonjs/fake-timers'
 import { RequestError } from '../../../src/core/errors/index.ts'
-import { MAX_LOCAL_REFUSAL_MS } from '../../../src/entry/limits/organisation-grants.ts'
+import { MAXIMUM_LOCAL_REFUSAL_MS } from '../../../src/entry/limits/organisation-grants.ts'
 import { createPrefetchedGrants, type PrefetchedGrants } from '../../../src/entry/limits/prefetched-grants.ts'
 
 describe('createPrefetchedGrants', () => {
@@ -70,7 +70,7 @@
     const pattern = /^red has reached its limit of 20 operations a second and 20 at a time \(version 7, kept by h4\)/
     expect([granted, pattern.test(reasons[0]!), requested.length]).toEqual([0, true, before])
     left = Infinity
-    await clock.tickAsync(MAX_LOCAL_REFUSAL_MS)
+    await clock.tickAsync(MAXIMUM_LOCAL_REFUSAL_MS)
     expect((await take(1)).granted).toEqual(1)
   })
 
--- a/test/entry/process/organisations.test.ts
+++ b/test/entry/process/organisations.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { MAX_LOCAL_REFUSAL_MS } from '../../../src/entry/limits/organisation-grants.ts'
+import { MAXIMUM_LOCAL_REFUSAL_MS } from '../../../src/entry/limits/organisation-grants.ts'
 import { setUpWorld } from '../../fixtures/fleet/set-up.ts'
 import type { FakeOrganisation, FakeRoute } from '../../fixtures/fleet/world.ts'
 import { seedRandom } from '../../fixtures/seed-random.ts'
@@ -141,7 +141,7 @@
   const limit = { perSecond: 20, burst: 20 }
   const windowMs = 5000
   /** Greatest number of operations in a window: the limit and the tolerance of the settings. */
-  const maxInWindow = (limit.perSecond * windowMs / 1000 + limit.burst) * 1.1 + 20
+  const maximumInWindow = (limit.perSecond * windowMs / 1000 + limit.burst) * 1.1 + 20
 
   const sentAtById = new Map<string, number>()
   /** Sends reads of one organisation through all running hosts; returns their outcomes. */
@@ -185,7 +185,7 @@
   it('holds in every window under five times the load, and is used up', async () => {
     await configure()
     const outcomes = await sendReads(100, 10_000)
-    expect(countMostRunInWindow() <= maxInWindow).toEqual(true)
+    expect(countMostRunInWindow() <= maximumInWindow).toEqual(true)
     const served = outcomes.filter(({ kind }) => kind === undefined).length
     expect(served >= limit.perSecond * 9).toEqual(true)
     const refused = outcomes.filter(({ kind }) => kind === 'busy')
@@ -214,8 +214,8 @@
     await sendReads(100, 4000)
     suite.world.silent.delete(owner)
     await sendReads(100, 4000)
-    expect(countMostRunInWindow() <= maxInWindow).toEqual(true)
-    await suite.clock.tickAsync(MAX_LOCAL_REFUSAL_MS)
+    expect(countMostRunInWindow() <= maximumInWindow).toEqual(true)
+    await suite.clock.tickAsync(MAXIMUM_LOCAL_REFUSAL_MS)
     const outcomes = await sendReads(12, 4000)
     expect(outcomes.filter(({ kind }) => kind !== undefined)).toEqual([])
   })
@@ -231,7 +231,7 @@
     }
     await suite.clock.tickAsync(1000)
     await sendReads(100, 6000)
-    expect(countMostRunInWindow() <= maxInWindow).toEqual(true)
+    expect(countMostRunInWindow() <= maximumInWindow).toEqual(true)
   })
 
   it('holds when a partition separates the hosts', async () => {
@@ -241,7 +241,7 @@
     await sendReads(100, 6000)
     suite.world.beyondCut.clear()
     await sendReads(100, 5000)
-    expect(countMostRunInWindow() <= maxInWindow).toEqual(true)
+    expect(countMostRunInWindow() <= maximumInWindow).toEqual(true)
   })
 
   it('is exceeded when an unanswered request counts as granted', async () => {
@@ -250,7 +250,7 @@
     await sendReads(100, 3000)
     HOSTS.slice(0, 4).forEach((name) => suite.world.beyondCut.add(name))
     await sendReads(100, 6000)
-    expect(countMostRunInWindow() > maxInWindow).toEqual(true)
+    expect(countMostRunInWindow() > maximumInWindow).toEqual(true)
   })
 
   for (const seed of [1, 2, 3, 4, 5, 6]) {
@@ -277,7 +277,7 @@
         await faults[Math.floor(Math.random() * faults.length)]!()
         await sendReads(20 + Math.floor(Math.random() * 120), 500 + Math.random() * 1500)
       }
-      expect(countMostRunInWindow() <= maxInWindow).toEqual(true)
+      expect(countMostRunInWindow() <= maximumInWindow).toEqual(true)
     })
   }
 })
--- a/test/entry/registry/snapshot-refresh.test.ts
+++ b/test/entry/registry/snapshot-refresh.test.ts
@@ -22,7 +22,7 @@
   /** Hosts that received a request. */
   readonly requested = new Set<string>()
   /** Maximum age of the snapshot, in milliseconds. */
-  maxAgeMs = 0
+  maximumAgeMs = 0
   private snapshot: RegistrySnapshot = { ...EMPTY_SNAPSHOT, version: 1, liveHosts: HOSTS, askedAt: performance.now() }
   private readonly stop: () => void
 
@@ -47,7 +47,7 @@
   }
 
   private request ({ name }: KnownHost, reading: string): boolean {
-    this.maxAgeMs = Math.max(this.maxAgeMs, this.ageMs())
+    this.maximumAgeMs = Math.max(this.maximumAgeMs, this.ageMs())
     this.requested.add(name)
     if (name !== reading) {
       return false
@@ -68,14 +68,14 @@
     await clock.tickAsync(20_000)
     host.close()
     expect(host.requested.has(second!)).toEqual(true)
-    expect(host.maxAgeMs < EXTEND_AFTER_MS).toEqual(true)
+    expect(host.maximumAgeMs < EXTEND_AFTER_MS).toEqual(true)
   })
 
   it('keeps the snapshot of a reader fresh while the store rejects it', async () => {
     const host = new RejectedHost(readersOf(HOSTS)[0]!.name, FOLLOWERS.at(-1)!)
     await clock.tickAsync(20_000)
     host.close()
-    expect(host.maxAgeMs < EXTEND_AFTER_MS).toEqual(true)
+    expect(host.maximumAgeMs < EXTEND_AFTER_MS).toEqual(true)
   })
 })
 
--- a/test/entry/registry/table-exchange.test.ts
+++ b/test/entry/registry/table-exchange.test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { expect } from 'earl'
-import { followersOf, MIN_FOLLOWERS, orderFor } from '../../../src/entry/registry/readers.ts'
+import { followersOf, MINIMUM_FOLLOWERS, orderFor } from '../../../src/entry/registry/readers.ts'
 import type { KnownHost } from '../../../src/entry/registry/snapshot.ts'
 import { MONEY, setUpWorld } from '../../fixtures/fleet/set-up.ts'
 import { seedRandom } from '../../fixtures/seed-random.ts'
@@ -28,7 +28,7 @@
     await suite.clock.tickAsync(400)
     expect(allHaveVersion(2)).toEqual(true)
     // Each follower receives an answer and sends the next request; the reader continues to read the registry.
-    expect(calls() - before <= 2 * MIN_FOLLOWERS).toEqual(true)
+    expect(calls() - before <= 2 * MINIMUM_FOLLOWERS).toEqual(true)
   })
 
   it('reaches hosts whose follower is paused', async () => {
