--- a/src/mysql-proxy/membership/opinions.ts
+++ b/src/mysql-proxy/membership/opinions.ts
@@ -43,7 +43,7 @@
  * @returns the opinions
  */
 export function createOpinions (options: OpinionsOptions): Opinions {
-  const { list, logger, onChange, onUnavailable: onSilent } = options
+  const { list, logger, onChange, onUnavailable } = options
   /** Number of further heartbeats that carry the change of a member, by host. */
   const heartbeatsLeft = new Map<string, number>()
   const timers = new Set<NodeJS.Timeout>()
@@ -92,7 +92,7 @@
       logger.log('info', 'member.state', { peer: member.host, state: member.state, before })
     }
     if (member.state === 'suspect' || member.state === 'gone') {
-      onSilent(member)
+      onUnavailable(member)
     }
     if (member.state === 'suspect') {
       awaitRefutation(member)
