--- a/src/entry/leadership/promote.ts
+++ b/src/entry/leadership/promote.ts
@@ -12,7 +12,7 @@
 import type { PromotionLease } from './promotion-lease.ts'
 
 /** Attempts to order a promotion while answers are lost; the first may have used a dead connection. */
-const MAX_ORDER_ATTEMPTS = 2
+const MAXIMUM_ORDER_ATTEMPTS = 2
 /** Timeout for a promotion to take effect, in milliseconds. */
 const EFFECT_TIMEOUT_MS = 2500
 
@@ -35,7 +35,7 @@
  * @param options - the group and the services
  * @param candidates - upstreams of the group that answered, and their reports
  * @param closed - row of the group as this failover has closed it
- * @param closedAt - when the epoch was certainly closed, on the steady clock
+ * @param closedAt - when the epoch was certainly closed, on the monotonic clock
  * @returns the new primary, or undefined if no promotion took effect
  */
 export async function promoteSuccessor (
@@ -71,7 +71,7 @@
   options: PromoteOptions, candidate: Candidate, failoverId: string, closedTerm: number
 ): Promise<Candidate | undefined> {
   const findClaim = watchPrimaryClaim(options, candidate, closedTerm)
-  for (let attempt = 1; attempt <= MAX_ORDER_ATTEMPTS; attempt++) {
+  for (let attempt = 1; attempt <= MAXIMUM_ORDER_ATTEMPTS; attempt++) {
     const outcome = await orderPromotion(options, candidate, failoverId)
     if (outcome === 'not-running' || (outcome === 'not-ordered' && attempt === 1)) {
       return undefined
--- a/src/mysql-proxy/membership/opinions.ts
+++ b/src/mysql-proxy/membership/opinions.ts
@@ -9,7 +9,7 @@
 import type { Heartbeat, Member } from './types.ts'
 
 /** Maximum number of changes in one heartbeat. */
-const MAX_CHANGES_PER_HEARTBEAT = 16
+const MAXIMUM_CHANGES_PER_HEARTBEAT = 16
 /** Number of heartbeats that carry each change. */
 const HEARTBEATS_PER_CHANGE = 6
 
@@ -43,7 +43,7 @@
  * @returns the opinions
  */
 export function createOpinions (options: OpinionsOptions): Opinions {
-  const { list, logger, onChange, onUnavailable: onSilent } = options
+  const { list, logger, onChange, onUnavailable } = options
   /** Number of further heartbeats that carry the change of a member, by host. */
   const heartbeatsLeft = new Map<string, number>()
   const timers = new Set<NodeJS.Timeout>()
@@ -92,7 +92,7 @@
       logger.log('info', 'member.state', { peer: member.host, state: member.state, before })
     }
     if (member.state === 'suspect' || member.state === 'gone') {
-      onSilent(member)
+      onUnavailable(member)
     }
     if (member.state === 'suspect') {
       awaitRefutation(member)
@@ -108,7 +108,7 @@
       const changed: Member[] = []
       for (const [host, left] of heartbeatsLeft) {
         // Changes beyond the limit keep their count and wait for a later heartbeat.
-        if (changed.length === MAX_CHANGES_PER_HEARTBEAT) {
+        if (changed.length === MAXIMUM_CHANGES_PER_HEARTBEAT) {
           break
         }
         const member = host === self.host ? undefined : list.get(host)
